--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -15,9 +15,9 @@
 from aspenfold._internal import exceptions
 from aspenfold._internal.gateway import maps_duty
 from aspenfold._internal.gateway import plan as plan_module
+from aspenfold._internal.gateway import plan_index
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import roster
-from aspenfold._internal.gateway import table
 
 Plan = plan_module.Plan
 
@@ -125,7 +125,7 @@
         self, plan: Plan, host: str, path: str, *, as_json: bool
     ) -> exits.Exit:
         """Print the routes of the host that match, the one used first."""
-        chosen = table.Table(plan=plan).route(host, path)
+        chosen = plan_index.PlanIndex(plan=plan).route(host, path)
         matching = [
             route
             for route in plan.routes
--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -4,14 +4,14 @@
 import random
 
 from aspenfold._internal.gateway import admission
-from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import directory as directory_module
 from aspenfold._internal.gateway import forwarding
+from aspenfold._internal.gateway import header_names as header_names_module
 from aspenfold._internal.gateway import outage
 from aspenfold._internal.gateway import outages
 from aspenfold._internal.gateway import plan as plan_module
+from aspenfold._internal.gateway import plan_index as plan_index_module
 from aspenfold._internal.gateway import settings
-from aspenfold._internal.gateway import table as table_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.observability import events
@@ -35,18 +35,18 @@
         self,
         *,
         cfg: settings.GatewaySettings,
-        dialect: dialect_module.HeaderNames,
+        header_names: header_names_module.HeaderNames,
         clock: clock_module.Clock,
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
-        self.names = dialect
+        self.names = header_names
         self.clock = clock
         self.rng = rng
-        self.forwarding = forwarding.Forwarding(dialect=dialect)
+        self.forwarding = forwarding.Forwarding(header_names=header_names)
         self.directory = directory_module.Directory()
         self.metrics = metrics_module.Metrics()
-        self.table: table_module.Table | None = None
+        self.plan_index: plan_index_module.PlanIndex | None = None
         self.adopted_at: datetime.datetime | None = None
         self.draining = False
         self.refusing = False
@@ -60,21 +60,21 @@
     @property
     def limits(self) -> plan_module.Limits:
         """The limits on callers that are in force."""
-        if self.table is None:
+        if self.plan_index is None:
             return plan_module.DEFAULT_LIMITS
-        return self.table.plan.limits
+        return self.plan_index.plan.limits
 
     @property
     def plan_version(self) -> int:
         """The version of the plan in force, 0 for none."""
-        return self.table.plan.version if self.table else 0
+        return self.plan_index.plan.version if self.plan_index else 0
 
     def adopt(self, plan: plan_module.Plan) -> None:
         """Put a plan in force; an older one than now is left out."""
-        table = self.table
-        if table is not None and plan.version <= table.plan.version:
+        plan_index = self.plan_index
+        if plan_index is not None and plan.version <= plan_index.plan.version:
             return
-        self.table = table_module.Table(plan=plan)
+        self.plan_index = plan_index_module.PlanIndex(plan=plan)
         self.adopted_at = self.clock.now()
         events.emit(
             events.Event.PLAN_IN_FORCE,
@@ -96,16 +96,16 @@
 
     def has_group(self, service: str) -> bool:
         """Return whether the service's endpoints are ranks of groups."""
-        if self.table is None:
+        if self.plan_index is None:
             return False
-        known = self.table.plan.services.get(service)
+        known = self.plan_index.plan.services.get(service)
         return known is not None and known.group is not None
 
     def group_services(self) -> list[str]:
         """Return the services whose endpoints are ranks of groups."""
-        if self.table is None:
+        if self.plan_index is None:
             return []
-        services = self.table.plan.services
+        services = self.plan_index.plan.services
         return [name for name in services if self.has_group(name)]
 
     def is_overloaded(
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -11,8 +11,8 @@
 from aspenfold._internal.gateway import forwarding
 from aspenfold._internal.gateway import outcome
 from aspenfold._internal.gateway import plan as plan_module
+from aspenfold._internal.gateway import plan_index as plan_index_module
 from aspenfold._internal.gateway import refusal
-from aspenfold._internal.gateway import table as table_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.network import http1_server
 from aspenfold._internal.observability import events
@@ -75,17 +75,17 @@
 
     def _admit(self) -> plan_module.Route | None:
         """Return the request's route, or refuse it and return None."""
-        table = self._core.table
-        if table is None:
+        plan_index = self._core.plan_index
+        if plan_index is None:
             self._refuse(Code.NO_FLEET, 'no plan is known here yet')
             return None
         request = self._request
         path = request.target.partition(b'?')[0].decode('latin-1')
-        route = table.route(forwarding.host_name(request), path)
+        route = plan_index.route(forwarding.host_name(request), path)
         if route is None:
             self._refuse(Code.UNKNOWN_SERVICE, 'no route has this path')
             return None
-        if not self._authenticate(table, route):
+        if not self._authenticate(plan_index, route):
             self._refuse(Code.UNAUTHENTICATED, 'the API key is not known')
             return None
         self._call.service = self._core.service_of(route)
@@ -100,14 +100,14 @@
         return route
 
     def _authenticate(
-        self, table: table_module.Table, route: plan_module.Route
+        self, plan_index: plan_index_module.PlanIndex, route: plan_module.Route
     ) -> bool:
         key = forwarding.api_key(self._request)
-        found = table.organisation(key) if key else None
+        found = plan_index.organisation(key) if key else None
         if found is not None:
             self._call.organisation = found.name
             return True
-        return route.anonymous or not table.plan.organisations
+        return route.anonymous or not plan_index.plan.organisations
 
     # -- attempts --------------------------------------------------------
 
--- a/src/aspenfold/_internal/gateway/forwarding.py
+++ b/src/aspenfold/_internal/gateway/forwarding.py
@@ -1,7 +1,7 @@
 """Which headers go on, towards endpoints and towards callers."""
 
-from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import directory
+from aspenfold._internal.gateway import header_names as header_names_module
 from aspenfold._internal.network import http1_client
 from aspenfold._internal.network import http1_server
 
@@ -42,16 +42,16 @@
 class Forwarding:
     """Builds the heads of requests and answers for one dialect."""
 
-    def __init__(self, *, dialect: dialect_module.HeaderNames) -> None:
-        self._names = dialect
+    def __init__(self, *, header_names: header_names_module.HeaderNames) -> None:
+        self._names = header_names
         # Set by this program; what a caller sent there is dropped.
         self._own = HOP_BY_HOP | {
             b'authorization',
             b'content-length',
-            dialect.expected_endpoint,
-            dialect.organisation,
-            dialect.priority,
-            dialect.time_left_ms,
+            header_names.expected_endpoint,
+            header_names.organisation,
+            header_names.priority,
+            header_names.time_left_ms,
         }
 
     def request(
--- a/src/aspenfold/_internal/gateway/maps_duty.py
+++ b/src/aspenfold/_internal/gateway/maps_duty.py
@@ -251,12 +251,12 @@
     # -- the groups ------------------------------------------------------
 
     def _shapes(self) -> dict[str, plan_module.GroupShape]:
-        table = self._core.table
-        if table is None:
+        plan_index = self._core.plan_index
+        if plan_index is None:
             return {}
         return {
             service.name: service.group
-            for service in table.plan.services.values()
+            for service in plan_index.plan.services.values()
             if service.group is not None
         }
 
--- a/src/aspenfold/_internal/gateway/table.py
+++ b/src/aspenfold/_internal/gateway/plan_index.py
@@ -6,7 +6,7 @@
 from aspenfold._internal.gateway import plan as plan_module
 
 
-class Table:
+class PlanIndex:
     """An index of one plan."""
 
     def __init__(self, *, plan: plan_module.Plan) -> None:
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -6,10 +6,10 @@
 import signal
 
 from aspenfold._internal.gateway import core as core_module
-from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import exchange as exchange_module
 from aspenfold._internal.gateway import feeds as feeds_module
 from aspenfold._internal.gateway import group_watch
+from aspenfold._internal.gateway import header_names as header_names_module
 from aspenfold._internal.gateway import maps_duty
 from aspenfold._internal.gateway import outage
 from aspenfold._internal.gateway import peers as peers_module
@@ -50,13 +50,13 @@
         *,
         cfg: settings.GatewaySettings,
         platform: ports.Platform,
-        dialect: dialect_module.HeaderNames,
+        header_names: header_names_module.HeaderNames,
         clock: clock_module.Clock,
     ) -> None:
         self._cfg = cfg
         self._core = core_module.Core(
             cfg=cfg,
-            dialect=dialect,
+            header_names=header_names,
             clock=clock,
             rng=random.Random(secrets.randbits(128)),
         )
@@ -249,7 +249,7 @@
     def ready(self) -> bool:
         """Whether requests can be served here."""
         return (
-            self._core.table is not None
+            self._core.plan_index is not None
             and len(self._core.directory) > 0
             and not self._core.draining
         )
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -25,7 +25,7 @@
         process = gateway.GatewayProcess(
             cfg=cfg,
             platform=platform,
-            dialect=headers.DIALECT,
+            header_names=headers.DIALECT,
             clock=clock.SteadyClock(),
         )
         await process.run()
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -112,7 +112,7 @@
     return gateway.GatewayProcess(
         cfg=cfg,
         platform=connect.platform(cfg.store),
-        dialect=headers.DIALECT,
+        header_names=headers.DIALECT,
         clock=clock.SteadyClock(),
     )
 
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -17,9 +17,9 @@
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import event_stream
 from aspenfold._internal.gateway import peers
+from aspenfold._internal.gateway import plan_index
 from aspenfold._internal.gateway import refusal
 from aspenfold._internal.gateway import settings
-from aspenfold._internal.gateway import table
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.leases import contest
 from aspenfold._internal.models import fleet
@@ -95,7 +95,7 @@
         {'name': 'ab', 'host': 'h.example', 'path_prefix': '/a/b/'},
         {'name': 'other', 'host': 'o.example', 'path_prefix': '/a/b/c/'},
     ]
-    found = table.Table(plan=config.decode(plan_of(routes)))
+    found = plan_index.PlanIndex(plan=config.decode(plan_of(routes)))
 
     def name(host: str, path: str) -> str | None:
         route = found.route(host, path)
@@ -110,7 +110,7 @@
 
 def test_keys_name_their_organisation() -> None:
     """All of its keys, and nothing else."""
-    found = table.Table(plan=config.decode(plan_of([])))
+    found = plan_index.PlanIndex(plan=config.decode(plan_of([])))
     for key in (b'k-1', b'k-2'):
         organisation = found.organisation(key)
         assert organisation is not None
