--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -77,7 +77,7 @@
     for count in (16, 72, 750):
         known = directory.Directory()
         for number in range(count):
-            known.listed(
+            known.update_listing(
                 directory.Listing(
                     name=f'w-{number}',
                     service='s',
--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -125,7 +125,7 @@
         self, plan: Plan, host: str, path: str, *, as_json: bool
     ) -> exits.Exit:
         """Print the routes of the host that match, the one used first."""
-        chosen = plan_index.PlanIndex(plan=plan).route(host, path)
+        chosen = plan_index.PlanIndex(plan=plan).find_route(host, path)
         matching = [
             route
             for route in plan.routes
--- a/src/aspenfold/_internal/gateway/admission.py
+++ b/src/aspenfold/_internal/gateway/admission.py
@@ -14,7 +14,7 @@
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import plan
 
-RETURNED_SHARE = 0.85
+RETRY_TIME_FRACTION = 0.85
 """A caller that has less than this of the route's time left has asked
 before; a first request has all of it."""
 
@@ -23,18 +23,18 @@
 stream would wait for a place."""
 
 
-RECOVERY = datetime.timedelta(milliseconds=2700)
+BACKLOG_DURATION = datetime.timedelta(milliseconds=2700)
 """After a group runs again, those who were refused come back for so
 long: callers return after a third of their time at most, of 8 s."""
 
-RECOVERY_PRESSURE = 0.6
+BACKLOG_PRESSURE = 0.6
 """Mean work of the ranks over their places, from which on a first stream
 leaves room for those.  Over one half, under which nobody is refused."""
 
 
-def has_returned(route: plan.Route, left: datetime.timedelta) -> bool:
+def is_retry(route: plan.Route, left: datetime.timedelta) -> bool:
     """Return whether a request with ``left`` to go was refused before."""
-    return left < RETURNED_SHARE * route.timeout
+    return left < RETRY_TIME_FRACTION * route.timeout
 
 
 def is_full(endpoints: abc.Iterable[directory.Endpoint]) -> bool:
@@ -42,7 +42,7 @@
     return all(e.pressure >= FULL_PRESSURE for e in endpoints)
 
 
-def is_catching_up(
+def has_backlog(
     endpoints: abc.Sequence[directory.Endpoint],
     since_outage: datetime.timedelta | None,
 ) -> bool:
@@ -51,13 +51,13 @@
     A first request is served in time when it comes back; sent on now it
     would be late, and with it those who have no other try.
     """
-    if since_outage is None or since_outage > RECOVERY:
+    if since_outage is None or since_outage > BACKLOG_DURATION:
         return False
     work = sum(e.pressure for e in endpoints)
-    return work >= RECOVERY_PRESSURE * len(endpoints)
+    return work >= BACKLOG_PRESSURE * len(endpoints)
 
 
-def refuses(
+def should_refuse(
     route: plan.Route,
     left: datetime.timedelta,
     endpoints: abc.Sequence[directory.Endpoint],
@@ -69,6 +69,6 @@
     """
     if route.kind is not plan.Kind.STREAMING or not endpoints:
         return False
-    if has_returned(route, left):
+    if is_retry(route, left):
         return False
-    return is_full(endpoints) or is_catching_up(endpoints, since_outage)
+    return is_full(endpoints) or has_backlog(endpoints, since_outage)
--- a/src/aspenfold/_internal/gateway/attempt.py
+++ b/src/aspenfold/_internal/gateway/attempt.py
@@ -32,35 +32,35 @@
         endpoint: directory.Endpoint,
     ) -> None:
         self._core = core
-        self._names = core.names
+        self._names = core.header_names
         self._call = call
         self._history = history
         self._endpoint = endpoint
 
-    async def run(self) -> outcome.End:
+    async def run(self) -> outcome.AttemptResult:
         """Make the attempt and keep the books of its endpoint."""
         endpoint = self._endpoint
         events.emit(
             events.Event.ATTEMPT_OPENED,
             call=self._call.id,
-            number=self._history.sent + 1,
+            number=self._history.attempts_sent + 1,
             endpoint=endpoint.name,
             pressure=round(endpoint.pressure, 2),
-            left_ms=self._call.left_ms,
+            left_ms=self._call.remaining_ms,
             plan=self._core.plan_version,
         )
         endpoint.in_flight += 1
         try:
-            async with asyncio.timeout(self._call.left.total_seconds()):
+            async with asyncio.timeout(self._call.remaining.total_seconds()):
                 end = await self._connect_and_send()
         except TimeoutError:
-            end = outcome.End.TIMED_OUT
+            end = outcome.AttemptResult.TIMED_OUT
         finally:
             endpoint.in_flight -= 1
         self._judge(end)
         return end
 
-    async def _connect_and_send(self) -> outcome.End:
+    async def _connect_and_send(self) -> outcome.AttemptResult:
         listing = self._endpoint.listing
         try:
             connection = await http1_client.connect(
@@ -68,18 +68,20 @@
             )
         except http1_client.NotConnected:
             self._history.unreachable += 1
-            return outcome.End.NOT_SENT
+            return outcome.AttemptResult.NOT_SENT
         try:
             return await self._send(connection)
         finally:
             connection.close()
 
-    async def _send(self, connection: http1_client.Connection) -> outcome.End:
+    async def _send(
+        self, connection: http1_client.Connection
+    ) -> outcome.AttemptResult:
         history = self._history
         request = self._call.request
         headers = self._headers()
         earlier = history.may_have_run
-        history.sent += 1
+        history.attempts_sent += 1
         history.may_have_run = True
         try:
             connection.send(
@@ -90,24 +92,24 @@
             if end in outcome.NOT_RUN:
                 history.may_have_run = earlier
                 return end
-            if end is outcome.End.LOST:
+            if end is outcome.AttemptResult.LOST:
                 return end
             if self._is_event_stream(head.status_code):
                 return await self._relay(head, connection)
             return await self._take_whole(head, connection)
         except http1_client.ConnectionLost:
-            return outcome.End.LOST
+            return outcome.AttemptResult.LOST
 
     async def _head(
         self, connection: http1_client.Connection
     ) -> http1_client.Head:
         """Wait for the answer's head; a wait tells that a group runs."""
-        if not self._core.outages.stands(self._endpoint):
+        if not self._core.outages.is_unavailable(self._endpoint):
             return await connection.head()
         loop = asyncio.get_running_loop()
         taken = loop.call_later(
-            outage.UNREFUSED.total_seconds(),
-            self._core.outages.runs,
+            outage.REFUSAL_TIMEOUT.total_seconds(),
+            self._core.outages.record_recovery,
             self._call.service,
             self._endpoint.group,
         )
@@ -120,43 +122,43 @@
         call = self._call
         last_id = b''
         if self._history.head_delivered:
-            last_id = call.cutter.last_id
-        return self._core.forwarding.request(
+            last_id = call.splitter.last_id
+        return self._core.forwarding.request_headers(
             call.request,
             endpoint=self._endpoint,
             organisation=call.organisation,
-            left_ms=max(1, call.left_ms),
+            left_ms=max(1, call.remaining_ms),
             last_event_id=last_id,
         )
 
     # -- the answer ------------------------------------------------------
 
-    def _judge_head(self, head: http1_client.Head) -> outcome.End:
+    def _judge_head(self, head: http1_client.Head) -> outcome.AttemptResult:
         """Return what the head alone tells: not run, lost or answered."""
         headers = list(head.headers)
         load = forwarding.header(headers, self._names.load)
         if load:
             told = forwarding.parse_load(load)
             if told is not None:
-                self._endpoint.take_load(told)
+                self._endpoint.update_load(told)
         if head.status_code == 421:
-            return outcome.End.REPLACED
+            return outcome.AttemptResult.REPLACED
         if forwarding.header(headers, self._names.not_run):
             return self._declined()
         echoed = forwarding.header(headers, self._names.attempt_id)
         if echoed.decode('latin-1') != self._call.id:
             # An answer to some earlier request, come late.
-            return outcome.End.LOST
-        return outcome.End.ANSWERED
+            return outcome.AttemptResult.LOST
+        return outcome.AttemptResult.ANSWERED
 
-    def _declined(self) -> outcome.End:
+    def _declined(self) -> outcome.AttemptResult:
         """Tell an endpoint that is full from one whose group is down."""
         load = self._endpoint.load
         if load is None or not self._core.has_group(self._call.service):
-            return outcome.End.DECLINED
+            return outcome.AttemptResult.DECLINED
         if load.running + load.waiting < load.capacity:
-            return outcome.End.DOWN
-        return outcome.End.DECLINED
+            return outcome.AttemptResult.GROUP_UNAVAILABLE
+        return outcome.AttemptResult.DECLINED
 
     def _is_event_stream(self, status: int) -> bool:
         kind = self._history.route.kind
@@ -164,7 +166,7 @@
 
     async def _take_whole(
         self, head: http1_client.Head, connection: http1_client.Connection
-    ) -> outcome.End:
+    ) -> outcome.AttemptResult:
         """Hold an answer until it is whole."""
         parts: list[bytes] = []
         size = 0
@@ -172,45 +174,49 @@
             parts.append(data)
             size += len(data)
             if size > MAX_WHOLE_ANSWER:
-                return outcome.End.LOST
+                return outcome.AttemptResult.LOST
         if self._history.head_delivered:
             # A resumed stream cannot go on with a failure's body.
-            return outcome.End.FAILED
-        self._call.held = call_module.WholeAnswer(
+            return outcome.AttemptResult.FAILED
+        self._call.buffered_answer = call_module.BufferedAnswer(
             status=head.status_code,
             headers=list(head.headers),
             body=b''.join(parts),
         )
         if head.status_code < 500:
-            return outcome.End.ANSWERED
-        return outcome.End.FAILED
+            return outcome.AttemptResult.ANSWERED
+        return outcome.AttemptResult.FAILED
 
     async def _relay(
         self, head: http1_client.Head, connection: http1_client.Connection
-    ) -> outcome.End:
+    ) -> outcome.AttemptResult:
         """Pass events on, each as soon as it is whole."""
-        answer, cutter = self._call.answer, self._call.cutter
-        cutter.drop_rest()
+        answer, cutter = self._call.answer, self._call.splitter
+        cutter.discard_partial_event()
         while (data := await connection.data()) is not None:
             whole = cutter.feed(data)
             if whole:
                 self._begin_stream(head)
                 answer.data(whole)
                 await answer.room()
-            if cutter.overflows:
-                return outcome.End.OVERSIZED
+            if cutter.is_oversized:
+                return outcome.AttemptResult.OVERSIZED
         self._begin_stream(head)
-        if cutter.rest:
-            answer.data(cutter.rest)
+        if cutter.partial_event:
+            answer.data(cutter.partial_event)
         answer.end()
-        return outcome.End.ANSWERED
+        return outcome.AttemptResult.ANSWERED
 
     def _begin_stream(self, head: http1_client.Head) -> None:
         if self._history.head_delivered:
             return
         self._history.head_delivered = True
-        self._core.outages.runs(self._call.service, self._endpoint.group)
-        headers = self._core.forwarding.answer(list(head.headers), length=None)
+        self._core.outages.record_recovery(
+            self._call.service, self._endpoint.group
+        )
+        headers = self._core.forwarding.answer_headers(
+            list(head.headers), length=None
+        )
         self._core.metrics.latency(
             'first-event', self._call.organisation, self._call.age
         )
@@ -218,22 +224,22 @@
 
     # -- what is learnt --------------------------------------------------
 
-    def _judge(self, end: outcome.End) -> None:
+    def _judge(self, end: outcome.AttemptResult) -> None:
         """Learn about the endpoint from how the attempt ended."""
         now = self._core.clock.now()
         known = self._core.directory
-        if end is outcome.End.ANSWERED:
-            known.succeeded(self._endpoint)
-        elif end is outcome.End.NOT_SENT:
-            known.unreachable(self._endpoint, now)
-        elif end is outcome.End.REPLACED:
-            known.replaced(self._endpoint)
-        elif end is outcome.End.DOWN:
-            self._core.outages.refused(
+        if end is outcome.AttemptResult.ANSWERED:
+            known.record_success(self._endpoint)
+        elif end is outcome.AttemptResult.NOT_SENT:
+            known.record_unreachable(self._endpoint, now)
+        elif end is outcome.AttemptResult.REPLACED:
+            known.record_replacement(self._endpoint)
+        elif end is outcome.AttemptResult.GROUP_UNAVAILABLE:
+            self._core.outages.record_refusal(
                 self._call.service, self._endpoint.group
             )
         elif self._core.has_group(self._call.service):
             # A rank's failure is its whole group's: none is better.
             return
-        elif end in (outcome.End.LOST, outcome.End.FAILED):
-            known.failed(self._endpoint, now)
+        elif end in (outcome.AttemptResult.LOST, outcome.AttemptResult.FAILED):
+            known.record_failure(self._endpoint, now)
--- a/src/aspenfold/_internal/gateway/call.py
+++ b/src/aspenfold/_internal/gateway/call.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class WholeAnswer:
+class BufferedAnswer:
     """An endpoint's answer to a request that is no stream."""
 
     status: int
@@ -34,10 +34,10 @@
     deadline: datetime.datetime
     organisation: str = ''
     service: str = ''
-    cutter: event_stream.EventCutter = dataclasses.field(
-        default_factory=event_stream.EventCutter
+    splitter: event_stream.EventSplitter = dataclasses.field(
+        default_factory=event_stream.EventSplitter
     )
-    held: WholeAnswer | None = None
+    buffered_answer: BufferedAnswer | None = None
 
     @property
     def age(self) -> datetime.timedelta:
@@ -50,11 +50,11 @@
         return int(self.age.total_seconds() * 1000)
 
     @property
-    def left(self) -> datetime.timedelta:
+    def remaining(self) -> datetime.timedelta:
         """Time to the deadline, negative after it."""
         return self.deadline - self.clock.now()
 
     @property
-    def left_ms(self) -> int:
+    def remaining_ms(self) -> int:
         """The same in whole milliseconds, rounded down."""
-        return math.floor(self.left.total_seconds() * 1000)
+        return math.floor(self.remaining.total_seconds() * 1000)
--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -40,14 +40,14 @@
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
-        self.names = header_names
+        self.header_names = header_names
         self.clock = clock
         self.rng = rng
         self.forwarding = forwarding.Forwarding(header_names=header_names)
         self.directory = directory_module.Directory()
         self.metrics = metrics_module.Metrics()
         self.plan_index: plan_index_module.PlanIndex | None = None
-        self.adopted_at: datetime.datetime | None = None
+        self.plan_applied_at: datetime.datetime | None = None
         self.draining = False
         self.refusing = False
         self._budgets: dict[str, shared.SharedBudget] = {}
@@ -75,7 +75,7 @@
         if plan_index is not None and plan.version <= plan_index.plan.version:
             return
         self.plan_index = plan_index_module.PlanIndex(plan=plan)
-        self.adopted_at = self.clock.now()
+        self.plan_applied_at = self.clock.now()
         events.emit(
             events.Event.PLAN_IN_FORCE,
             version=plan.version,
@@ -85,7 +85,7 @@
 
     # -- choices ---------------------------------------------------------
 
-    def service_of(self, route: plan_module.Route) -> str:
+    def choose_service(self, route: plan_module.Route) -> str:
         """Return the service for one request, by the route's weights."""
         if len(route.targets) == 1:
             return route.targets[0].service
@@ -116,24 +116,24 @@
             return False
         now = self.clock.now()
         found = self._running(self.directory.routable(service, now))
-        since = self.outages.since(found)
-        return admission.refuses(route, left, found, since)
+        since = self.outages.time_since_recovery(found)
+        return admission.should_refuse(route, left, found, since)
 
-    def standing(self, service: str) -> outage.Outage | None:
+    def current_outage(self, service: str) -> outage.Outage | None:
         """Return the outage to wait for, None if some group runs."""
         if not self.has_group(service):
             return None
         found = self.directory.routable(service, self.clock.now())
-        return self.outages.next_to_open(found)
+        return self.outages.first_to_recover(found)
 
     def _running(
         self, endpoints: list[directory_module.Endpoint]
     ) -> list[directory_module.Endpoint]:
         """Return those whose group runs; all of them if none does."""
-        running = [e for e in endpoints if not self.outages.stands(e)]
+        running = [e for e in endpoints if not self.outages.is_unavailable(e)]
         return running or endpoints
 
-    def choose(
+    def choose_endpoint(
         self, service: str, avoid: set[str]
     ) -> directory_module.Endpoint | None:
         """Return the endpoint for an attempt, None if there is none."""
@@ -160,15 +160,15 @@
 
     def plan_age(self) -> datetime.timedelta | None:
         """Return how long the plan has been in force, None for none."""
-        if self.adopted_at is None:
+        if self.plan_applied_at is None:
             return None
-        return self.clock.now() - self.adopted_at
+        return self.clock.now() - self.plan_applied_at
 
-    def least_budget(self) -> float:
+    def min_retry_budget(self) -> float:
         """Return the fewest attempts left of any service's budget."""
         return min((b.left for b in self._budgets.values()), default=0.0)
 
-    def budget(self, service: str) -> shared.SharedBudget:
+    def retry_budget(self, service: str) -> shared.SharedBudget:
         """Return the service's retry budget."""
         known = self._budgets.get(service)
         if known is None:
--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -75,7 +75,7 @@
         self, endpoints: abc.Mapping[int, directory.Endpoint]
     ) -> datetime.timedelta:
         if self.free:
-            return sampling.interval(endpoints, self._zone)
+            return sampling.count_interval(endpoints, self._zone)
         return HURRIED_INTERVAL if self._planner.hurried else SAMPLE_INTERVAL
 
     async def _read(
@@ -98,7 +98,7 @@
 
         Return whether any were read.
         """
-        chosen = sampling.chosen(
+        chosen = sampling.choose_ranks(
             endpoints,
             zone=self._zone,
             free=free,
--- a/src/aspenfold/_internal/gateway/directory.py
+++ b/src/aspenfold/_internal/gateway/directory.py
@@ -23,7 +23,7 @@
 
 MAX_FAILURE_PAUSE = datetime.timedelta(seconds=4)
 
-RETURN_GRACE = datetime.timedelta(seconds=2)
+STORE_RECOVERY_TIMEOUT = datetime.timedelta(seconds=2)
 """How long after the store's return endpoints whose entries lapsed
 meanwhile have to register again; the platform says about 2 s."""
 
@@ -68,8 +68,8 @@
     in_flight: int = 0
     load: Load | None = None
     in_flight_at_load: int = 0
-    elsewhere: int = 0
-    pace: float = 1.0
+    peer_in_flight: int = 0
+    slowdown: float = 1.0
     group: str = ''
 
     @property
@@ -85,18 +85,18 @@
     @property
     def pressure(self) -> float:
         """Work there over capacity, as far as this gateway can tell."""
-        seen = self.in_flight + self.elsewhere
-        if self.load is not None and not self.elsewhere:
+        seen = self.in_flight + self.peer_in_flight
+        if self.load is not None and not self.peer_in_flight:
             told = self.load.running + self.load.waiting
             seen = max(seen, told + self.in_flight - self.in_flight_at_load)
-        return seen * self.pace / self.listing.capacity
+        return seen * self.slowdown / self.listing.capacity
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether one more request would start at once."""
         return self.pressure <= 1.0 - 1.0 / self.listing.capacity
 
-    def take_load(self, load: Load) -> None:
+    def update_load(self, load: Load) -> None:
         """Take the endpoint's word on its load."""
         self.load = load
         self.in_flight_at_load = self.in_flight
@@ -128,10 +128,10 @@
             if e.in_flight
         }
 
-    def take_paces(self, paces: abc.Mapping[str, float]) -> None:
+    def set_slowdowns(self, paces: abc.Mapping[str, float]) -> None:
         """Take which endpoints are slow, and how much; others are not."""
         for endpoint in self._endpoints.values():
-            endpoint.pace = paces.get(endpoint.name, 1.0)
+            endpoint.slowdown = paces.get(endpoint.name, 1.0)
 
     def names(self) -> list[str]:
         """Return the names of all known endpoints."""
@@ -139,7 +139,7 @@
 
     # -- from the platform's list ----------------------------------------
 
-    def listed(self, listing: Listing) -> bool:
+    def update_listing(self, listing: Listing) -> bool:
         """Take an entry of the list; return whether it changed much."""
         known = self._endpoints.get(listing.name)
         if known is None:
@@ -153,8 +153,8 @@
         known.listing = listing
         return changed
 
-    def removed(
-        self, name: str, now: datetime.datetime, *, store_sound: bool
+    def remove_listing(
+        self, name: str, now: datetime.datetime, *, store_available: bool
     ) -> bool:
         """An entry has left the list; return whether that is news.
 
@@ -164,18 +164,18 @@
         known = self._endpoints.get(name)
         if known is None:
             return False
-        if not store_sound and not known.leaving:
+        if not store_available and not known.leaving:
             if known.missing_since is None:
                 known.missing_since = now
             return False
         self._forget(name)
         return True
 
-    def settle(
+    def remove_missing(
         self, now: datetime.datetime, returned: datetime.datetime
     ) -> list[str]:
         """Forget what is still missing after the store's return."""
-        if now - returned < RETURN_GRACE:
+        if now - returned < STORE_RECOVERY_TIMEOUT:
             return []
         lost = [
             e.name
@@ -198,15 +198,19 @@
 
     # -- from endpoints themselves ---------------------------------------
 
-    def replaced(self, endpoint: Endpoint) -> None:
+    def record_replacement(self, endpoint: Endpoint) -> None:
         """Another incarnation answers at its address."""
         self._forget(endpoint.name)
 
-    def unreachable(self, endpoint: Endpoint, now: datetime.datetime) -> None:
+    def record_unreachable(
+        self, endpoint: Endpoint, now: datetime.datetime
+    ) -> None:
         """It refused a connection or did not answer one."""
         self._pause(endpoint, now + UNREACHABLE_PAUSE, 'unreachable')
 
-    def failed(self, endpoint: Endpoint, now: datetime.datetime) -> None:
+    def record_failure(
+        self, endpoint: Endpoint, now: datetime.datetime
+    ) -> None:
         """A request there was lost or answered with a failure."""
         endpoint.failures += 1
         over = endpoint.failures - FAILURES_BEFORE_PAUSE
@@ -214,7 +218,7 @@
             wait = min(MAX_FAILURE_PAUSE, FAILURE_PAUSE * 2 ** min(over, 4))
             self._pause(endpoint, now + wait, 'failing')
 
-    def succeeded(self, endpoint: Endpoint) -> None:
+    def record_success(self, endpoint: Endpoint) -> None:
         """It gave a whole answer."""
         endpoint.failures = 0
 
--- a/src/aspenfold/_internal/gateway/event_stream.py
+++ b/src/aspenfold/_internal/gateway/event_stream.py
@@ -14,7 +14,7 @@
 _ID = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
 
 
-class EventCutter:
+class EventSplitter:
     """Splits bytes into whole events; remembers the last event's id."""
 
     def __init__(self, *, last_id: bytes = b'') -> None:
@@ -23,16 +23,16 @@
         self._rest = b''
 
     @property
-    def overflows(self) -> bool:
+    def is_oversized(self) -> bool:
         """Whether an event has grown too large to be kept."""
         return len(self._rest) > MAX_EVENT_BYTES
 
     @property
-    def rest(self) -> bytes:
+    def partial_event(self) -> bytes:
         """Bytes of an event that is not whole yet."""
         return self._rest
 
-    def drop_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget an event that broke off."""
         self._rest = b''
 
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -41,14 +41,14 @@
         self._request = request
         self._answer = answer
         self._tried: set[str] = set()
-        self._told_left = told_left(
-            request.header(core.names.time_left_ms).decode('latin-1')
+        self._told_left = parse_time_left(
+            request.header(core.header_names.time_left_ms).decode('latin-1')
         )
         self._call = call_module.Call(
             clock=core.clock,
             request=request,
             answer=answer,
-            id=request.header(core.names.attempt_id).decode('latin-1'),
+            id=request.header(core.header_names.attempt_id).decode('latin-1'),
             deadline=request.received_at + self._told_left,
         )
         self.endpoint = ''
@@ -59,7 +59,7 @@
         if route is None:
             return
         history = outcome.History(route=route)
-        self._core.budget(self._call.service).request()
+        self._core.retry_budget(self._call.service).request()
         try:
             await self._attempts(history)
         except asyncio.CancelledError:
@@ -81,14 +81,14 @@
             return None
         request = self._request
         path = request.target.partition(b'?')[0].decode('latin-1')
-        route = plan_index.route(forwarding.host_name(request), path)
+        route = plan_index.find_route(forwarding.host_name(request), path)
         if route is None:
             self._refuse(Code.UNKNOWN_SERVICE, 'no route has this path')
             return None
         if not self._authenticate(plan_index, route):
             self._refuse(Code.UNAUTHENTICATED, 'the API key is not known')
             return None
-        self._call.service = self._core.service_of(route)
+        self._call.service = self._core.choose_service(route)
         left = min(route.timeout, self._told_left)
         self._call.deadline = request.received_at + left
         if self._core.refusing:
@@ -103,7 +103,7 @@
         self, plan_index: plan_index_module.PlanIndex, route: plan_module.Route
     ) -> bool:
         key = forwarding.api_key(self._request)
-        found = plan_index.organisation(key) if key else None
+        found = plan_index.find_organisation(key) if key else None
         if found is not None:
             self._call.organisation = found.name
             return True
@@ -114,7 +114,9 @@
     async def _attempts(self, history: outcome.History) -> None:
         await self._wait_for_group(history)
         while True:
-            endpoint = self._core.choose(self._call.service, self._tried)
+            endpoint = self._core.choose_endpoint(
+                self._call.service, self._tried
+            )
             if endpoint is None:
                 self._end_without_endpoint(history)
                 return
@@ -126,33 +128,37 @@
                 endpoint=endpoint,
             ).run()
             step = await self._next_step(history, end)
-            if step is not outcome.Step.AGAIN:
+            if step is not outcome.NextStep.RETRY:
                 self._conclude(step, end, history)
                 return
             self._tried.add(endpoint.name)
             self._log_again(history, endpoint, end)
 
     async def _next_step(
-        self, history: outcome.History, end: outcome.End
-    ) -> outcome.Step:
+        self, history: outcome.History, end: outcome.AttemptResult
+    ) -> outcome.NextStep:
         """Return what follows an attempt; pay for another one."""
-        budget = self._core.budget(self._call.service)
-        if end is outcome.End.DOWN and not self._core.standing(
-            self._call.service
+        budget = self._core.retry_budget(self._call.service)
+        if (
+            end is outcome.AttemptResult.GROUP_UNAVAILABLE
+            and not self._core.current_outage(self._call.service)
         ):
             # Another group of the service runs.
-            end = outcome.End.DECLINED
+            end = outcome.AttemptResult.DECLINED
         # What no endpoint got yet is not sent *again*.
-        free = history.sent == 0
+        free = history.attempts_sent == 0
         allowed = free or budget.left >= 1
-        step = outcome.after(history, end, budget=allowed)
-        if step is outcome.Step.REFUSE and end is outcome.End.DOWN:
-            sends = history.sent < history.route.max_attempts
+        step = outcome.next_step(history, end, budget=allowed)
+        if (
+            step is outcome.NextStep.REFUSE
+            and end is outcome.AttemptResult.GROUP_UNAVAILABLE
+        ):
+            sends = history.attempts_sent < history.route.max_attempts
             if sends and allowed and await self._wait_for_group(history):
-                step = outcome.Step.AGAIN
-        if step is outcome.Step.AGAIN and not free and not budget.take():
+                step = outcome.NextStep.RETRY
+        if step is outcome.NextStep.RETRY and not free and not budget.take():
             # Others took what was left while this one waited.
-            return outcome.Step.REFUSE
+            return outcome.NextStep.REFUSE
         return step
 
     async def _wait_for_group(self, history: outcome.History) -> bool:
@@ -161,11 +167,11 @@
         Return whether it runs now.
         """
         call, now = self._call, self._core.clock.now()
-        known = self._core.standing(call.service)
+        known = self._core.current_outage(call.service)
         if known is None:
             return False
-        wait = known.wait_of(
-            history.route, age=call.age, left=call.left, now=now
+        wait = known.wait_limit(
+            history.route, age=call.age, left=call.remaining, now=now
         )
         if not wait:
             return False
@@ -174,7 +180,7 @@
             call=call.id,
             wait_ms=wait // clock_module.MILLISECOND,
             expected_ms=known.remaining(now) // clock_module.MILLISECOND,
-            left_ms=call.left_ms,
+            left_ms=call.remaining_ms,
         )
         opened = await known.wait(wait)
         self._core.metrics.count('group_waits', 'opened' if opened else 'vain')
@@ -183,30 +189,33 @@
     # -- the end ---------------------------------------------------------
 
     def _conclude(
-        self, step: outcome.Step, end: outcome.End, history: outcome.History
+        self,
+        step: outcome.NextStep,
+        end: outcome.AttemptResult,
+        history: outcome.History,
     ) -> None:
         match step:
-            case outcome.Step.DELIVER:
+            case outcome.NextStep.DELIVER:
                 self._deliver(history)
-            case outcome.Step.REFUSE:
+            case outcome.NextStep.REFUSE:
                 code = Code.OVERLOADED
-                if end is outcome.End.DOWN:
+                if end is outcome.AttemptResult.GROUP_UNAVAILABLE:
                     code = Code.GROUP_DOWN
                 self._refuse(code, f'{self.endpoint}: {end.value}')
-            case outcome.Step.GIVE_UP:
+            case outcome.NextStep.GIVE_UP:
                 self._give_up(end)
-            case outcome.Step.BREAK_OFF:
+            case outcome.NextStep.ABORT:
                 self._break_off(end)
 
     def _deliver(self, history: outcome.History) -> None:
         status = 200
         if not history.head_delivered:
-            held = self._call.held
+            held = self._call.buffered_answer
             assert held is not None
             status = held.status
             if status in PROMISES_NOT_RUN:
                 # Without the endpoint's word that it did not run.
-                self._give_up(outcome.End.FAILED)
+                self._give_up(outcome.AttemptResult.FAILED)
                 return
             self._pass_on(held)
         self._finished(events.Event.CALL_FINISHED, status=status)
@@ -215,8 +224,8 @@
         metrics.latency(kind, self._call.organisation, self._call.age)
         metrics.count('answers', str(status))
 
-    def _pass_on(self, held: call_module.WholeAnswer) -> None:
-        headers = self._core.forwarding.answer(
+    def _pass_on(self, held: call_module.BufferedAnswer) -> None:
+        headers = self._core.forwarding.answer_headers(
             held.headers, length=len(held.body)
         )
         self._answer.start(held.status, headers)
@@ -226,21 +235,21 @@
 
     def _end_without_endpoint(self, history: outcome.History) -> None:
         if history.head_delivered:
-            self._break_off(outcome.End.NOT_SENT)
+            self._break_off(outcome.AttemptResult.NOT_SENT)
         elif history.may_have_run:
-            self._give_up(outcome.End.LOST)
+            self._give_up(outcome.AttemptResult.LOST)
         else:
             service = self._call.service
             self._refuse(Code.NO_ENDPOINT, f'no endpoint of {service} is left')
 
     def _refuse(self, code: Code, detail: str) -> None:
         failure = exceptions.Failure(code=code, detail=detail)
-        wait = refusal.retry_after(code, self._call.left)
+        wait = refusal.retry_after(code, self._call.remaining)
         self._short_answer(failure, wait)
 
-    def _give_up(self, end: outcome.End) -> None:
+    def _give_up(self, end: outcome.AttemptResult) -> None:
         code = Code.ENDPOINT_LOST
-        if end is outcome.End.TIMED_OUT:
+        if end is outcome.AttemptResult.TIMED_OUT:
             code = Code.FATE_UNKNOWN
         failure = exceptions.Failure(
             code=code, detail=f'{self.endpoint}: {end.value}'
@@ -272,14 +281,14 @@
             detail=failure.detail,
         )
 
-    def _break_off(self, end: outcome.End) -> None:
+    def _break_off(self, end: outcome.AttemptResult) -> None:
         self._answer.abort()
         self._core.metrics.count('broken_streams', end.value)
         self._finished(
             events.Event.CALL_FAILED,
             code=int(Code.ANSWER_CUT),
             detail=f'{self.endpoint}: {end.value}',
-            events=self._call.cutter.events,
+            events=self._call.splitter.events,
         )
 
     # -- logs ------------------------------------------------------------
@@ -300,7 +309,7 @@
         self,
         history: outcome.History,
         endpoint: directory.Endpoint,
-        end: outcome.End,
+        end: outcome.AttemptResult,
     ) -> None:
         event = events.Event.ATTEMPT_LOST
         if history.head_delivered:
@@ -311,11 +320,11 @@
             endpoint=endpoint.name,
             end=end.value,
             age_ms=self._call.age_ms,
-            budget=round(self._core.budget(self._call.service).left, 1),
+            budget=round(self._core.retry_budget(self._call.service).left, 1),
         )
 
 
-def told_left(text: str) -> datetime.timedelta:
+def parse_time_left(text: str) -> datetime.timedelta:
     """Return how long a caller says that it waits, in milliseconds."""
     try:
         left = float(text)
--- a/src/aspenfold/_internal/gateway/forwarding.py
+++ b/src/aspenfold/_internal/gateway/forwarding.py
@@ -42,7 +42,9 @@
 class Forwarding:
     """Builds the heads of requests and answers for one dialect."""
 
-    def __init__(self, *, header_names: header_names_module.HeaderNames) -> None:
+    def __init__(
+        self, *, header_names: header_names_module.HeaderNames
+    ) -> None:
         self._names = header_names
         # Set by this program; what a caller sent there is dropped.
         self._own = HOP_BY_HOP | {
@@ -54,7 +56,7 @@
             header_names.time_left_ms,
         }
 
-    def request(
+    def request_headers(
         self,
         request: http1_server.Request,
         *,
@@ -86,7 +88,9 @@
             headers.append((b'content-length', length))
         return headers
 
-    def answer(self, headers: Headers, *, length: int | None) -> Headers:
+    def answer_headers(
+        self, headers: Headers, *, length: int | None
+    ) -> Headers:
         """Return the headers of an endpoint's answer for its caller."""
         dropped = HOP_BY_HOP | _named_in_connection(headers)
         dropped = dropped | {b'content-length'}
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -152,11 +152,11 @@
 
     async def _wait_to_find(self) -> None:
         """Wait until another search for the ranks may find them."""
-        if self._outage.lasts:
+        if self._outage.is_ongoing:
             await self._outage.wait(STANDING_INTERVAL)
             return
         wait = FIND_INTERVAL
-        if self._outage.ended_lately(self._clock.now()) is not None:
+        if self._outage.recent_recovery_age(self._clock.now()) is not None:
             wait = OPENED_INTERVAL
         await asyncio.sleep(wait.total_seconds())
 
@@ -215,7 +215,7 @@
         now = self._clock.now()
         self._perform(switch, switch.tick(now))
         # A group that refuses requests opens in a new epoch.
-        broken = self._outage.lasts and not switch.holds
+        broken = self._outage.is_ongoing and not switch.holds
         if broken or switch.state is switch_module.State.LOST:
             self._leave(switch)
             return
@@ -279,7 +279,7 @@
                 paces[self._endpoints[rank].name] = round(pace, 2)
         if paces != self._peers.paces:
             self._peers.paces = paces
-            self._members.take_paces(paces)
+            self._members.set_slowdowns(paces)
             events.emit(
                 events.Event.RANKS_SLOW, group=self._group, paces=paces
             )
--- a/src/aspenfold/_internal/gateway/group_watch.py
+++ b/src/aspenfold/_internal/gateway/group_watch.py
@@ -78,7 +78,7 @@
         by_group = {
             (e.listing.service, e.group): e
             for e in members
-            if self._core.outages.stands(e)
+            if self._core.outages.is_unavailable(e)
         }
         reports = await asyncio.gather(
             *(self._ranks.report(e, free=True) for e in by_group.values())
@@ -87,4 +87,4 @@
             if report is None or report.age > switch.FRESH_AGE:
                 continue
             if report.open and report.group == group:
-                self._core.outages.runs(service, group)
+                self._core.outages.record_recovery(service, group)
--- a/src/aspenfold/_internal/gateway/list_feed.py
+++ b/src/aspenfold/_internal/gateway/list_feed.py
@@ -158,7 +158,7 @@
         known = self._directory.get(listing.name)
         if known is None or known.listing != listing:
             self._changed.append(record)
-        if self._directory.listed(listing):
+        if self._directory.update_listing(listing):
             events.emit(
                 events.Event.ENDPOINT_LISTED,
                 endpoint=listing.name,
@@ -175,8 +175,8 @@
             del self._listed_at[oldest]
 
     def _remove(self, name: str, now: datetime.datetime) -> None:
-        gone = self._directory.removed(
-            name, now, store_sound=self._state.sound(now)
+        gone = self._directory.remove_listing(
+            name, now, store_available=self._state.sound(now)
         )
         if gone:
             self._gone(name)
@@ -193,7 +193,9 @@
         """Forget endpoints that did not return with the store."""
         if self._state.lost or self._state.failed_at is None:
             return
-        lost = self._directory.settle(self._clock.now(), self._state.failed_at)
+        lost = self._directory.remove_missing(
+            self._clock.now(), self._state.failed_at
+        )
         for name in lost:
             self._gone(name)
 
@@ -222,8 +224,8 @@
             gone = tuple(name for name in names if name not in present)
         for name in gone:
             # The peer has waited where the store was away.
-            if self._directory.removed(
-                name, self._clock.now(), store_sound=True
+            if self._directory.remove_listing(
+                name, self._clock.now(), store_available=True
             ):
                 self._gone(name)
         self._next = max(known, news.end)
--- a/src/aspenfold/_internal/gateway/maps_duty.py
+++ b/src/aspenfold/_internal/gateway/maps_duty.py
@@ -300,7 +300,7 @@
             zone=self._core.cfg.availability_zone,
             clock=self._core.clock,
             peers=self._peers,
-            outage=self._core.outages.of(service, group),
+            outage=self._core.outages.get(service, group),
         )
         leader.ending = self._ending
         task = asyncio.create_task(leader.run())
--- a/src/aspenfold/_internal/gateway/outages.py
+++ b/src/aspenfold/_internal/gateway/outages.py
@@ -12,7 +12,7 @@
 """Between a service and its group in what gateways tell each other."""
 
 
-def key_of(service: str, group: str) -> str:
+def group_key(service: str, group: str) -> str:
     """Return how gateways name a group to each other."""
     return f'{service}{SEPARATOR}{group}'
 
@@ -28,38 +28,42 @@
         self._clock = clock
         self._known: dict[str, outage.Outage] = {}
 
-    def of(self, service: str, group: str) -> outage.Outage:
+    def get(self, service: str, group: str) -> outage.Outage:
         """Return what is known of a group standing still."""
-        key = key_of(service, group)
+        key = group_key(service, group)
         known = self._known.get(key)
         if known is None:
             known = outage.Outage()
             self._known[key] = known
         return known
 
-    def stands(self, endpoint: directory.Endpoint) -> bool:
+    def is_unavailable(self, endpoint: directory.Endpoint) -> bool:
         """Return whether the endpoint's group is known to stand still."""
-        return self.of(endpoint.listing.service, endpoint.group).lasts
+        return self.get(endpoint.listing.service, endpoint.group).is_ongoing
 
-    def refused(self, service: str, group: str) -> None:
+    def record_refusal(self, service: str, group: str) -> None:
         """A group stands: it refused a request."""
-        if self.of(service, group).refused(self._clock.now()):
+        if self.get(service, group).record_refusal(self._clock.now()):
             events.emit(
                 events.Event.GROUP_STANDS, service=service, group=group
             )
 
-    def runs(self, service: str, group: str) -> None:
+    def record_recovery(self, service: str, group: str) -> None:
         """A group took a request, or was seen to be open."""
-        stood = self.of(service, group).runs(self._clock.now())
-        _log_end(key_of(service, group), stood, '')
+        stood = self.get(service, group).record_recovery(self._clock.now())
+        _log_end(group_key(service, group), stood, '')
 
-    def told(self, key: str, age: datetime.timedelta, peer: str) -> None:
+    def record_peer_recovery(
+        self, key: str, age: datetime.timedelta, peer: str
+    ) -> None:
         """A peer says that a group ran ``age`` ago."""
         known = self._known.get(key)
         if known is not None:
-            _log_end(key, known.told(age, self._clock.now()), peer)
+            _log_end(
+                key, known.record_peer_recovery(age, self._clock.now()), peer
+            )
 
-    def next_to_open(
+    def first_to_recover(
         self, endpoints: abc.Sequence[directory.Endpoint]
     ) -> outage.Outage | None:
         """Return the outage that ends first, None if some group runs.
@@ -68,14 +72,14 @@
         """
         found: list[outage.Outage] = []
         for endpoint in endpoints:
-            known = self.of(endpoint.listing.service, endpoint.group)
-            if not known.lasts:
+            known = self.get(endpoint.listing.service, endpoint.group)
+            if not known.is_ongoing:
                 return None
             found.append(known)
         now = self._clock.now()
         return min(found, key=lambda one: one.remaining(now), default=None)
 
-    def since(
+    def time_since_recovery(
         self, endpoints: abc.Sequence[directory.Endpoint]
     ) -> datetime.timedelta | None:
         """Return how long ago the last outage of the endpoints' groups ended.
@@ -85,23 +89,23 @@
         now = self._clock.now()
         ages: list[datetime.timedelta] = []
         for endpoint in endpoints:
-            known = self.of(endpoint.listing.service, endpoint.group)
-            age = known.ended_since(now)
+            known = self.get(endpoint.listing.service, endpoint.group)
+            age = known.recovery_age(now)
             if age is None:
                 return None
             ages.append(age)
         return min(ages, default=None)
 
-    def standing(self) -> int:
+    def count_ongoing(self) -> int:
         """Return how many groups are known to stand still."""
-        return sum(known.lasts for known in self._known.values())
+        return sum(known.is_ongoing for known in self._known.values())
 
-    def recovered(self) -> dict[str, datetime.timedelta]:
+    def recent_recoveries(self) -> dict[str, datetime.timedelta]:
         """Return how long ago groups were seen to run again, if lately."""
         now = self._clock.now()
         found = {}
         for key, known in self._known.items():
-            age = known.ended_lately(now)
+            age = known.recent_recovery_age(now)
             if age is not None:
                 found[key] = age
         return found
--- a/src/aspenfold/_internal/gateway/outcome.py
+++ b/src/aspenfold/_internal/gateway/outcome.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.gateway import plan
 
 
-class End(enum.Enum):
+class AttemptResult(enum.Enum):
     """How an attempt ended, as far as its sender can know."""
 
     NOT_SENT = 'not-sent'
@@ -18,7 +18,7 @@
     DECLINED = 'declined'
     """The endpoint says that it did not run the request."""
 
-    DOWN = 'down'
+    GROUP_UNAVAILABLE = 'down'
     """The endpoint has room but its group of ranks does not run."""
 
     REPLACED = 'replaced'
@@ -40,19 +40,32 @@
     """No whole answer came in time; the request may have run."""
 
 
-NOT_RUN = frozenset({End.NOT_SENT, End.DECLINED, End.DOWN, End.REPLACED})
-
-FINAL = frozenset({End.TIMED_OUT, End.DOWN, End.OVERSIZED})
+NOT_RUN = frozenset(
+    {
+        AttemptResult.NOT_SENT,
+        AttemptResult.DECLINED,
+        AttemptResult.GROUP_UNAVAILABLE,
+        AttemptResult.REPLACED,
+    }
+)
+
+NOT_RETRYABLE = frozenset(
+    {
+        AttemptResult.TIMED_OUT,
+        AttemptResult.GROUP_UNAVAILABLE,
+        AttemptResult.OVERSIZED,
+    }
+)
 """Ends after which no other endpoint would do better."""
 
 
-class Step(enum.Enum):
+class NextStep(enum.Enum):
     """What is to be done after an attempt."""
 
     DELIVER = 'deliver'
     """Pass on the endpoint's answer, whatever it is."""
 
-    AGAIN = 'again'
+    RETRY = 'again'
     """Send the request to another endpoint."""
 
     REFUSE = 'refuse'
@@ -61,7 +74,7 @@
     GIVE_UP = 'give-up'
     """Tell the caller that the request may have run."""
 
-    BREAK_OFF = 'break-off'
+    ABORT = 'break-off'
     """The answer has begun: end it so that it looks incomplete."""
 
 
@@ -73,7 +86,7 @@
     """
 
     route: plan.Route
-    sent: int = 0
+    attempts_sent: int = 0
     unreachable: int = 0
     may_have_run: bool = False
     head_delivered: bool = False
@@ -84,24 +97,29 @@
 that the list still has, so a fourth will hardly fare better."""
 
 
-def after(history: History, end: End, *, budget: bool) -> Step:
+def next_step(
+    history: History, end: AttemptResult, *, budget: bool
+) -> NextStep:
     """Return the next step after an attempt ended with ``end``.
 
     ``budget``: the retry budget allows another attempt.  The history
     already counts this attempt.
     """
-    if end is End.ANSWERED:
-        return Step.DELIVER
+    if end is AttemptResult.ANSWERED:
+        return NextStep.DELIVER
     repeatable = history.route.repeatable or not history.may_have_run
-    within = history.sent < history.route.max_attempts
-    if end is End.NOT_SENT and history.unreachable >= MAX_UNREACHABLE:
+    within = history.attempts_sent < history.route.max_attempts
+    if (
+        end is AttemptResult.NOT_SENT
+        and history.unreachable >= MAX_UNREACHABLE
+    ):
         within = False
-    if end not in FINAL and repeatable and within and budget:
-        return Step.AGAIN
+    if end not in NOT_RETRYABLE and repeatable and within and budget:
+        return NextStep.RETRY
     if history.head_delivered:
-        return Step.BREAK_OFF
-    if end is End.FAILED:
-        return Step.DELIVER
+        return NextStep.ABORT
+    if end is AttemptResult.FAILED:
+        return NextStep.DELIVER
     if history.may_have_run:
-        return Step.GIVE_UP
-    return Step.REFUSE
+        return NextStep.GIVE_UP
+    return NextStep.REFUSE
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -181,7 +181,7 @@
         self._count(news, 1)
         peer.news = news
         if news.token:
-            self._members.take_paces(news.paces)
+            self._members.set_slowdowns(news.paces)
         return news
 
     def leader_heard(self, now: datetime.datetime) -> bool:
@@ -257,7 +257,7 @@
     def _add(self, name: str, count: int) -> None:
         endpoint = self._members.get(name)
         if endpoint is not None:
-            endpoint.elsewhere = max(0, endpoint.elsewhere + count)
+            endpoint.peer_in_flight = max(0, endpoint.peer_in_flight + count)
 
     def forget_silent(self, now: datetime.datetime) -> None:
         """Leave out what peers told that are not heard any more."""
--- a/src/aspenfold/_internal/gateway/plan_index.py
+++ b/src/aspenfold/_internal/gateway/plan_index.py
@@ -23,7 +23,7 @@
             for key in organisation.keys
         }
 
-    def route(self, host: str, path: str) -> plan_module.Route | None:
+    def find_route(self, host: str, path: str) -> plan_module.Route | None:
         """Return the route of the host with the longest prefix."""
         prefixes = self._routes.get(host.lower())
         if prefixes is None:
@@ -36,7 +36,7 @@
             end = path.rfind('/', 0, end)
         return None
 
-    def organisation(self, key: bytes) -> plan_module.Organisation | None:
+    def find_organisation(self, key: bytes) -> plan_module.Organisation | None:
         """Return the organisation that holds an API key."""
         return self._keys.get(self._digest(key))
 
--- a/src/aspenfold/_internal/gateway/refusal.py
+++ b/src/aspenfold/_internal/gateway/refusal.py
@@ -6,7 +6,7 @@
 
 Code = exceptions.Code
 
-STATUS: dict[Code, int] = {
+HTTP_STATUS: dict[Code, int] = {
     Code.UNKNOWN_SERVICE: 404,
     Code.UNAUTHENTICATED: 401,
     Code.NO_FLEET: 503,
@@ -20,7 +20,7 @@
 }
 """HTTP status by code.  Only 503 promises that the request has not run."""
 
-WAITS: dict[Code, datetime.timedelta] = {
+RETRY_AFTER: dict[Code, datetime.timedelta] = {
     # The first plan is read within some milliseconds of a start.
     Code.NO_FLEET: datetime.timedelta(milliseconds=500),
     # The list is read every 0.9 s.
@@ -40,7 +40,7 @@
 
 def status(code: Code) -> int:
     """Return the HTTP status of a code."""
-    return STATUS[code]
+    return HTTP_STATUS[code]
 
 
 def retry_after(
@@ -50,7 +50,7 @@
 
     Callers follow it only up to a third of the time that they have.
     """
-    wait = WAITS.get(code)
+    wait = RETRY_AFTER.get(code)
     if wait is None:
         return None
     return max(datetime.timedelta(0), min(wait, left / 3))
--- a/src/aspenfold/_internal/gateway/roster.py
+++ b/src/aspenfold/_internal/gateway/roster.py
@@ -16,15 +16,15 @@
 TOPIC = 'keyed.aspenfold-gateways'
 """Our own topic; a record's key is the gateway's host."""
 
-WAIT = datetime.timedelta(seconds=25)
+READ_TIMEOUT = datetime.timedelta(seconds=25)
 """Longest waiting read: gateways come and go rarely, and one that is
 not known yet only makes choices a little worse."""
 
-PACE_S = 0.5
+MIN_READ_INTERVAL_S = 0.5
 """Least time between two reads: at a start all gateways write, within
 0.3 s as the platform says."""
 
-RETRY_WAIT_S = 2.0
+RETRY_DELAY_S = 2.0
 """Wait after a failed call; nothing depends on it."""
 
 
@@ -60,7 +60,7 @@
                 self._end = None
             except ports.StoreUnavailable as exc:
                 events.emit(events.Event.ROSTER_UNSURE, error=str(exc)[:200])
-                await asyncio.sleep(RETRY_WAIT_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _turn(self) -> None:
         if self._end is None:
@@ -70,13 +70,13 @@
             await self._store.put(TOPIC, self._host, value)
             self._known[self._host] = self._address
             # The others of a new system write now, too.
-            await asyncio.sleep(PACE_S)
+            await asyncio.sleep(MIN_READ_INTERVAL_S)
             self._read(await self._store.newest(TOPIC))
-        await asyncio.sleep(PACE_S)
+        await asyncio.sleep(MIN_READ_INTERVAL_S)
         if self._rests():
             return
         assert self._end is not None
-        self._read(await self._store.read(TOPIC, self._end, WAIT))
+        self._read(await self._store.read(TOPIC, self._end, READ_TIMEOUT))
 
     def _read(self, page: ports.Page) -> None:
         self._take(page)
--- a/src/aspenfold/_internal/gateway/sampling.py
+++ b/src/aspenfold/_internal/gateway/sampling.py
@@ -9,16 +9,16 @@
 
 from aspenfold._internal.gateway import directory
 
-PAID_RANKS = 2
+MAX_DIRECT_RANKS = 2
 """Ranks whose counts are read from another host, one a turn: the group
 pauses for each, and each is paid for."""
 
-FREE_RANKS = 24
+MAX_AGENT_RANKS = 24
 """Most ranks whose counts are read through their agents: some forty
 requests a second at the users' sizes, which tells demand to within a
 few parts in a hundred."""
 
-FAR_RANKS = 8
+MAX_REMOTE_ZONE_RANKS = 8
 """Most of these in other zones: each answer is 2 to 10 KB, and all 72
 ranks of a service would be some 0.1 GB between zones in 45 s, by
 reckoning."""
@@ -34,7 +34,7 @@
 read each 100 ms, would be 0.09 GB in 55 s at some 10 KB an answer."""
 
 
-def interval(
+def count_interval(
     endpoints: abc.Mapping[int, directory.Endpoint], zone: str
 ) -> datetime.timedelta:
     """Return the pace of reading counts through agents."""
@@ -43,7 +43,7 @@
     return GROUP_INTERVAL
 
 
-def chosen(
+def choose_ranks(
     endpoints: abc.Mapping[int, directory.Endpoint],
     *,
     zone: str,
@@ -60,10 +60,10 @@
     """
     every = sorted(endpoints)
     if not free:
-        return [every[turn % min(PAID_RANKS, len(every))]]
+        return [every[turn % min(MAX_DIRECT_RANKS, len(every))]]
     near = [rank for rank in every if endpoints[rank].zone == zone]
-    near = near[:FREE_RANKS]
+    near = near[:MAX_AGENT_RANKS]
     if near and not whole:
         return near
     far = [rank for rank in every if endpoints[rank].zone != zone]
-    return sorted(near + far[:FAR_RANKS])
+    return sorted(near + far[:MAX_REMOTE_ZONE_RANKS])
--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -49,7 +49,7 @@
         return max(seen + since, self.in_flight) / max(1, self.load.capacity)
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether one more call would start at once."""
         capacity = max(1, self.load.capacity)
         return self.pressure <= 1.0 - 1.0 / capacity
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -199,7 +199,7 @@
             self._source.heard(news.host, news.zone, news.reads, now)
             self._feeds.plan.hint(news.plan_offset)
             for group, age in news.recovered.items():
-                self._core.outages.told(group, age, news.host)
+                self._core.outages.record_peer_recovery(group, age, news.host)
 
         socket = await datagrams.listen(
             self._cfg.address, self._cfg.peer_port, receive
@@ -210,7 +210,7 @@
             self._peers.forget_silent(now)
             self._peers.plan_offset = self._feeds.plan.offset
             self._peers.reads = self._source.reads(now)
-            self._peers.recovered = self._core.outages.recovered()
+            self._peers.recovered = self._core.outages.recent_recoveries()
             due = self._peers.outgoing(now)
             if due is None:
                 continue
@@ -271,7 +271,7 @@
 
     def outage(self, service: str, group: str = '') -> outage.Outage:
         """Return what is known of a group of ranks standing still."""
-        return self._core.outages.of(service, group)
+        return self._core.outages.get(service, group)
 
     @property
     def plan_version(self) -> int:
--- a/src/aspenfold/_internal/processes/gateway_metrics.py
+++ b/src/aspenfold/_internal/processes/gateway_metrics.py
@@ -32,11 +32,11 @@
     gauge('reads_store', lambda: source.reads(core.clock.now()))
     gauge('store_lost', lambda: source.lost)
     gauge('followers', lambda: publisher.followers)
-    gauge('groups_standing', core.outages.standing)
+    gauge('groups_standing', core.outages.count_ongoing)
     gauge('leads_groups', lambda: duty.leading)
     gauge('map_changes', lambda: duty.changes)
     gauge('map_skew', lambda: duty.skew)
-    gauge('retry_budget_left', core.least_budget)
+    gauge('retry_budget_left', core.min_retry_budget)
 
 
 def _seconds(age: datetime.timedelta | None) -> float:
--- a/src/aspenfold/_internal/routing/two_choices.py
+++ b/src/aspenfold/_internal/routing/two_choices.py
@@ -44,7 +44,7 @@
         if not urgent:
             return self._least_loaded(pool, 2)
         chosen = self._least_loaded(pool, URGENT_CHOICES)
-        if chosen.has_room:
+        if chosen.has_free_slot:
             return chosen
         # A millisecond to another zone is less than a wait here.
         return self._least_loaded(candidates, URGENT_CHOICES)
--- a/src/aspenfold/_internal/routing/zone_first.py
+++ b/src/aspenfold/_internal/routing/zone_first.py
@@ -42,7 +42,7 @@
             policy.mean_pressure(own)
             > policy.mean_pressure(candidates) + SPILL_GAP
         )
-        if fuller or not near.has_room:
+        if fuller or not near.has_free_slot:
             return self._least(candidates)
         return near
 
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -25,7 +25,7 @@
         process = gateway.GatewayProcess(
             cfg=cfg,
             platform=platform,
-            header_names=headers.DIALECT,
+            header_names=headers.HEADER_NAMES,
             clock=clock.SteadyClock(),
         )
         await process.run()
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -196,7 +196,7 @@
     async def scene(rig: rigs.Rig) -> None:
         shut, _ = await two(rig, workers.whole, workers.whole)
         await shut.stop()
-        budget = rig.process._core.budget('plain')
+        budget = rig.process._core.retry_budget('plain')
         while budget.take():
             pass
         for _ in range(6):
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -104,7 +104,7 @@
             answer = await waiting
             assert answer.status == 200
             assert answer.whole
-            assert not outage.lasts
+            assert not outage.is_ongoing
 
     asyncio.run(run())
 
@@ -166,7 +166,7 @@
             answers = [await rig.ask('/model/') for _ in range(20)]
             assert {answer.status for answer in answers} == {200}
             assert rigs.asked(down, '/model/') == 1
-            assert rig.process.outage('model', 'g-1').lasts
-            assert not rig.process.outage('model', 'g-2').lasts
+            assert rig.process.outage('model', 'g-1').is_ongoing
+            assert not rig.process.outage('model', 'g-2').is_ongoing
 
     asyncio.run(run())
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -112,7 +112,7 @@
     return gateway.GatewayProcess(
         cfg=cfg,
         platform=connect.platform(cfg.store),
-        header_names=headers.DIALECT,
+        header_names=headers.HEADER_NAMES,
         clock=clock.SteadyClock(),
     )
 
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -68,7 +68,9 @@
 ) -> None:
     """While those come back that a standing group refused."""
     since = None if since_s is None else since_s * SECOND
-    found = admission.refuses(route(), left * SECOND, ranks(*in_flight), since)
+    found = admission.should_refuse(
+        route(), left * SECOND, ranks(*in_flight), since
+    )
     assert found is refused
 
 
@@ -88,19 +90,19 @@
     in_flight: tuple[int, ...], left: float, refused: bool
 ) -> None:
     """One that came back is always sent on."""
-    found = admission.refuses(route(), left * SECOND, ranks(*in_flight))
+    found = admission.should_refuse(route(), left * SECOND, ranks(*in_flight))
     assert found is refused
 
 
 @pytest.mark.parametrize('kind', [plan.Kind.SAFE, plan.Kind.UNSAFE])
 def test_calls_are_not_refused(kind: plan.Kind) -> None:
     """They are short, and plain services queue them by themselves."""
-    assert not admission.refuses(route(kind), 8 * SECOND, ranks(9))
+    assert not admission.should_refuse(route(kind), 8 * SECOND, ranks(9))
 
 
 def test_work_of_other_gateways_counts() -> None:
     """As peers told of it."""
     found = ranks(1)
     assert not admission.is_full(found)
-    found[0].elsewhere = 3
+    found[0].peer_in_flight = 3
     assert admission.is_full(found)
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -27,7 +27,7 @@
     resumable=True,
 )
 
-LONGEST = outage.CALLER_PATIENCE - outage.FIRST_EVENT_RESERVE
+LONGEST = outage.MIN_FIRST_EVENT_TIMEOUT - outage.FIRST_EVENT_MARGIN
 
 
 def standing(
@@ -35,7 +35,7 @@
 ) -> tuple[outage.Outage, datetime.datetime]:
     """Return a group that has refused for a while, and the time."""
     found = outage.Outage()
-    assert found.refused(clock.EPOCH)
+    assert found.record_refusal(clock.EPOCH)
     return found, clock.EPOCH + for_
 
 
@@ -48,7 +48,7 @@
     route: plan.Route = ROUTE,
 ) -> datetime.timedelta:
     """Return how long a request waits."""
-    return found.wait_of(route, age=age, left=left, now=now)
+    return found.wait_limit(route, age=age, left=left, now=now)
 
 
 def test_nobody_waits_for_a_group_that_runs() -> None:
@@ -64,9 +64,9 @@
     left = TIMEOUT / 2
     early, now = standing(SECOND)
     assert not wait(early, now, left=left)
-    late, now = standing(outage.EXPECTED_OUTAGE - SECOND)
+    late, now = standing(outage.EXPECTED_OUTAGE_DURATION - SECOND)
     assert wait(late, now, left=left) == LONGEST
-    overdue, now = standing(outage.EXPECTED_OUTAGE * 2)
+    overdue, now = standing(outage.EXPECTED_OUTAGE_DURATION * 2)
     assert wait(overdue, now, left=left) == LONGEST
 
 
@@ -78,14 +78,21 @@
     found = wait(fresh, now)
     assert 0 * MS < found < LONGEST
     # What returns after that wait may wait until the expected end.
-    back = found + (TIMEOUT - found) / outage.RETRY_SHARE
+    back = found + (TIMEOUT - found) / outage.RETRY_DELAY_DIVISOR
     reach = back + LONGEST
-    assert abs(reach - outage.EXPECTED_OUTAGE - outage.SLACK) < MS
+    assert (
+        abs(
+            reach
+            - outage.EXPECTED_OUTAGE_DURATION
+            - outage.EXPECTED_OUTAGE_MARGIN
+        )
+        < MS
+    )
 
 
 def test_no_wait_outlasts_a_callers_patience() -> None:
     """The time that the request has waited elsewhere counts."""
-    late, now = standing(outage.EXPECTED_OUTAGE)
+    late, now = standing(outage.EXPECTED_OUTAGE_DURATION)
     left = TIMEOUT / 2
     assert wait(late, now, left=left - SECOND, age=SECOND) == LONGEST - SECOND
     assert not wait(late, now, left=left - LONGEST, age=LONGEST)
@@ -94,12 +101,15 @@
 def test_old_news_of_a_running_group_changes_nothing() -> None:
     """A peer may have seen it run before it refused here."""
     found, now = standing(SECOND)
-    assert not found.told(2 * SECOND, now)
-    assert found.lasts
-    assert found.told(100 * MS, now)
-    assert not found.lasts
-    assert found.ended_lately(now) == 0 * MS
-    assert found.ended_lately(now + outage.NEWS_LIFE + MS) is None
+    assert not found.record_peer_recovery(2 * SECOND, now)
+    assert found.is_ongoing
+    assert found.record_peer_recovery(100 * MS, now)
+    assert not found.is_ongoing
+    assert found.recent_recovery_age(now) == 0 * MS
+    assert (
+        found.recent_recovery_age(now + outage.RECOVERY_UPDATE_DURATION + MS)
+        is None
+    )
 
 
 def test_those_who_wait_go_on_once_it_runs() -> None:
@@ -110,7 +120,7 @@
         assert not await found.wait(10 * MS)
         waiting = asyncio.ensure_future(found.wait(SECOND * 30))
         await asyncio.sleep(0)
-        assert found.runs(now)
+        assert found.record_recovery(now)
         assert await waiting
 
     asyncio.run(run())
--- a/tests/unit/test_gateway_outcomes.py
+++ b/tests/unit/test_gateway_outcomes.py
@@ -8,8 +8,8 @@
 from aspenfold._internal.gateway import outcome
 from aspenfold._internal.gateway import plan
 
-End = outcome.End
-Step = outcome.Step
+End = outcome.AttemptResult
+Step = outcome.NextStep
 
 KINDS = [
     (plan.Kind.SAFE, False),
@@ -54,7 +54,7 @@
         found = history(
             kind,
             resumable,
-            sent=sent,
+            attempts_sent=sent,
             unreachable=int(end is End.NOT_SENT),
             may_have_run=ran,
             head_delivered=head,
@@ -66,15 +66,15 @@
 def test_what_may_have_run_is_repeated_only_if_it_may_be() -> None:
     """Never an unsafe request or a stream that cannot be resumed."""
     for found, end, budget in cases():
-        step = outcome.after(found, end, budget=budget)
-        if step is Step.AGAIN and found.may_have_run:
+        step = outcome.next_step(found, end, budget=budget)
+        if step is Step.RETRY and found.may_have_run:
             assert found.route.repeatable
 
 
 def test_only_what_has_not_run_is_refused() -> None:
     """A refusal promises that the request has not run."""
     for found, end, budget in cases():
-        step = outcome.after(found, end, budget=budget)
+        step = outcome.next_step(found, end, budget=budget)
         if step is Step.REFUSE:
             assert not found.may_have_run
             assert end in outcome.NOT_RUN
@@ -83,10 +83,10 @@
 def test_attempts_and_budget_bound_repetition() -> None:
     """Whatever the end."""
     for found, end, budget in cases():
-        step = outcome.after(found, end, budget=budget)
-        if step is Step.AGAIN:
+        step = outcome.next_step(found, end, budget=budget)
+        if step is Step.RETRY:
             assert budget
-            assert found.sent < found.route.max_attempts
+            assert found.attempts_sent < found.route.max_attempts
 
 
 def test_a_stream_that_began_is_resumed_or_looks_broken() -> None:
@@ -94,23 +94,23 @@
     for found, end, budget in cases():
         if not found.head_delivered or end is End.ANSWERED:
             continue
-        step = outcome.after(found, end, budget=budget)
-        assert step in (Step.AGAIN, Step.BREAK_OFF)
+        step = outcome.next_step(found, end, budget=budget)
+        assert step in (Step.RETRY, Step.ABORT)
 
 
 def test_an_answer_is_always_delivered() -> None:
     """Also one that came late or with a failure of the caller's."""
     for found, end, budget in cases():
         if end is End.ANSWERED:
-            assert outcome.after(found, end, budget=budget) is Step.DELIVER
+            assert outcome.next_step(found, end, budget=budget) is Step.DELIVER
 
 
-@pytest.mark.parametrize('end', [End.TIMED_OUT, End.DOWN])
+@pytest.mark.parametrize('end', [End.TIMED_OUT, End.GROUP_UNAVAILABLE])
 def test_some_ends_are_the_last(end: End) -> None:
     """No time is left, or no endpoint would do better."""
-    found = history(plan.Kind.SAFE, False, sent=1)
-    step = outcome.after(found, end, budget=True)
-    assert step is not Step.AGAIN
+    found = history(plan.Kind.SAFE, False, attempts_sent=1)
+    step = outcome.next_step(found, end, budget=True)
+    assert step is not Step.RETRY
 
 
 def test_connections_are_not_tried_for_ever() -> None:
@@ -118,5 +118,5 @@
     found = history(
         plan.Kind.UNSAFE, False, unreachable=outcome.MAX_UNREACHABLE
     )
-    step = outcome.after(found, End.NOT_SENT, budget=True)
+    step = outcome.next_step(found, End.NOT_SENT, budget=True)
     assert step is Step.REFUSE
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -44,7 +44,7 @@
     text = b''.join(
         f'id: {n}\ndata: {"x" * (n % 5)}\n\n'.encode() for n in range(count)
     )
-    cutter = event_stream.EventCutter()
+    cutter = event_stream.EventSplitter()
     given = b''
     rest = text
     while rest:
@@ -61,9 +61,9 @@
 def test_a_resumed_stream_repeats_nothing(cut: int, back: int) -> None:
     """Wherever the next endpoint begins again."""
     events = [f'id: {n}\ndata: {n}\n\n'.encode() for n in range(1, 11)]
-    cutter = event_stream.EventCutter()
+    cutter = event_stream.EventSplitter()
     given = cutter.feed(b''.join(events[:cut]) + events[cut][:6])
-    cutter.drop_rest()
+    cutter.discard_partial_event()
     given += cutter.feed(b''.join(events[max(0, cut - back) :]))
     assert given == b''.join(events)
 
@@ -98,7 +98,7 @@
     found = plan_index.PlanIndex(plan=config.decode(plan_of(routes)))
 
     def name(host: str, path: str) -> str | None:
-        route = found.route(host, path)
+        route = found.find_route(host, path)
         return route.name if route else None
 
     assert name('h.example', '/a/b/c/d') == 'ab'
@@ -112,11 +112,11 @@
     """All of its keys, and nothing else."""
     found = plan_index.PlanIndex(plan=config.decode(plan_of([])))
     for key in (b'k-1', b'k-2'):
-        organisation = found.organisation(key)
+        organisation = found.find_organisation(key)
         assert organisation is not None
         assert organisation.name == 'one'
     for key in (b'', b'k-', b'k-11', b'K-1'):
-        assert found.organisation(key) is None
+        assert found.find_organisation(key) is None
 
 
 # -- the platform's records ----------------------------------------------
@@ -221,7 +221,7 @@
 
 def test_callers_are_never_told_more_than_a_third_of_their_time() -> None:
     """They would not follow it."""
-    for code in refusal.WAITS:
+    for code in refusal.RETRY_AFTER:
         wait = refusal.retry_after(code, 3 * SECOND)
         assert wait is not None
         assert datetime.timedelta(0) < wait <= SECOND
@@ -229,7 +229,7 @@
 
 def test_only_503_promises_that_a_request_has_not_run() -> None:
     """Codes that say "not run" answer 503, and no others do."""
-    for code, status in refusal.STATUS.items():
+    for code, status in refusal.HTTP_STATUS.items():
         if status == 503:
             assert code < 2000
         if code >= 2000:
@@ -320,7 +320,7 @@
     made = []
     for name in ('g-1', 'g-2'):
         known = directory.Directory()
-        known.listed(listed('w'))
+        known.update_listing(listed('w'))
         one = peers.Peers(
             host=name,
             zone='z',
@@ -348,7 +348,7 @@
     News that all must know goes everywhere at once.
     """
     known = directory.Directory()
-    known.listed(listed('w'))
+    known.update_listing(listed('w'))
     one = peers.Peers(
         host='g-0',
         zone='z',
@@ -396,12 +396,12 @@
     sender.in_flight = 1
     second = told(one, now + SECOND)
     two.heard(first, '10.0.0.0', now)
-    assert here.elsewhere == 3
+    assert here.peer_in_flight == 3
     two.heard(second, '10.0.0.0', now)
     two.heard(first, '10.0.0.0', now)
-    assert here.elsewhere == 1
+    assert here.peer_in_flight == 1
     two.forget_silent(now + 3 * SECOND)
-    assert here.elsewhere == 0
+    assert here.peer_in_flight == 0
 
 
 def test_peers_of_other_versions_are_understood() -> None:
@@ -415,7 +415,7 @@
         data = orjson.dumps([*fields, *more])
         news = two.heard(data, '10.0.0.0', clock.EPOCH)
         assert news is not None
-        assert here.elsewhere == 2
+        assert here.peer_in_flight == 2
         assert len(news.recovered) == (1 if more else 0)
     assert one.rejected == two.rejected == 0
 
@@ -541,7 +541,7 @@
     two.heard(data, sender, clock.EPOCH)
     here = known.get('w')
     assert here is not None
-    assert here.elsewhere == 0
+    assert here.peer_in_flight == 0
     assert two.rejected == 1
 
 
--- a/tests/unit/test_group_watch.py
+++ b/tests/unit/test_group_watch.py
@@ -77,7 +77,7 @@
     core, client = FakeCore(), FakeRanks()
     for number, group in enumerate(groups):
         name = f'e-{number}'
-        core.directory.listed(
+        core.directory.update_listing(
             directory.Listing(
                 name=name,
                 service=SERVICE,
@@ -130,17 +130,17 @@
     """By a fresh report, without a request that might be refused."""
     core, client, watch = world('g')
     member(core, 'e-0').group = 'g'
-    core.outages.refused(SERVICE, 'g')
+    core.outages.record_refusal(SERVICE, 'g')
     client.reports['e-0'] = report('g', is_open=False)
     watch_for(watch, 1)
-    assert core.outages.of(SERVICE, 'g').lasts
+    assert core.outages.get(SERVICE, 'g').is_ongoing
     old = dataclasses.replace(report('g'), age=ranks.REPORT_LAG)
     client.reports['e-0'] = old
     watch_for(watch, 1)
-    assert core.outages.of(SERVICE, 'g').lasts
+    assert core.outages.get(SERVICE, 'g').is_ongoing
     client.reports['e-0'] = report('g')
     watch_for(watch, 1)
-    assert not core.outages.of(SERVICE, 'g').lasts
+    assert not core.outages.get(SERVICE, 'g').is_ongoing
 
 
 def test_groups_that_run_are_not_asked() -> None:
@@ -158,15 +158,15 @@
     one, two = member(core, 'e-0'), member(core, 'e-1')
     one.group, two.group = 'g', 'h'
     known = core.outages
-    known.refused(SERVICE, 'g')
-    assert known.stands(one)
-    assert not known.stands(two)
-    assert known.next_to_open([one, two]) is None
+    known.record_refusal(SERVICE, 'g')
+    assert known.is_unavailable(one)
+    assert not known.is_unavailable(two)
+    assert known.first_to_recover([one, two]) is None
     core.clock.time += SECOND
-    known.refused(SERVICE, 'h')
-    assert known.next_to_open([one, two]) is known.of(SERVICE, 'g')
-    known.runs(SERVICE, 'g')
-    assert known.next_to_open([one, two]) is None
+    known.record_refusal(SERVICE, 'h')
+    assert known.first_to_recover([one, two]) is known.get(SERVICE, 'g')
+    known.record_recovery(SERVICE, 'g')
+    assert known.first_to_recover([one, two]) is None
 
 
 def test_a_backlog_of_one_group_is_no_backlog_of_all() -> None:
@@ -174,7 +174,7 @@
     core, _, _ = world('g', 'h')
     one, two = member(core, 'e-0'), member(core, 'e-1')
     one.group, two.group = 'g', 'h'
-    core.outages.refused(SERVICE, 'g')
-    core.outages.runs(SERVICE, 'g')
-    assert core.outages.since([one]) is not None
-    assert core.outages.since([one, two]) is None
+    core.outages.record_refusal(SERVICE, 'g')
+    core.outages.record_recovery(SERVICE, 'g')
+    assert core.outages.time_since_recovery([one]) is not None
+    assert core.outages.time_since_recovery([one, two]) is None
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -252,23 +252,25 @@
     group = {n: endpoint(str(n), zone) for n, zone in zones.items()}
 
     def chosen(zone: str, free: bool, turn: int) -> list[int]:
-        return sampling.chosen(group, zone=zone, free=free, turn=turn)
+        return sampling.choose_ranks(group, zone=zone, free=free, turn=turn)
 
     assert chosen('b', True, 0) == chosen('b', True, 1) == [1, 3]
     assert chosen('c', True, 0) == [0, 1, 2, 3]
     paid = [chosen('b', False, turn) for turn in range(4)]
     assert paid == [[0], [1], [0], [1]]
-    whole = sampling.chosen(group, zone='b', free=True, turn=0, whole=True)
+    whole = sampling.choose_ranks(
+        group, zone='b', free=True, turn=0, whole=True
+    )
     assert whole == [0, 1, 2, 3]
 
 
 def test_a_group_of_other_zones_is_read_less_often() -> None:
     """Load pattern: a group a zone, all led from one of them."""
     group = {n: endpoint(str(n), 'b') for n in range(24)}
-    assert sampling.interval(group, 'b') == sampling.ZONE_INTERVAL
-    assert sampling.interval(group, 'a') == sampling.GROUP_INTERVAL
-    read = sampling.chosen(group, zone='a', free=True, turn=0)
-    assert len(read) == sampling.FAR_RANKS
+    assert sampling.count_interval(group, 'b') == sampling.ZONE_INTERVAL
+    assert sampling.count_interval(group, 'a') == sampling.GROUP_INTERVAL
+    read = sampling.choose_ranks(group, zone='a', free=True, turn=0)
+    assert len(read) == sampling.MAX_REMOTE_ZONE_RANKS
     engine = FakeEngine(AGENT, ENGINE)
     found, clock = client(engine)
     planner = map_planner.MapPlanner(service='s', shape=SHAPE, clock=clock)
@@ -284,4 +286,4 @@
 
     asyncio.run(run())
     # Ten times in three seconds.
-    assert engine.called.count(AGENT) == 10 * sampling.FAR_RANKS
+    assert engine.called.count(AGENT) == 10 * sampling.MAX_REMOTE_ZONE_RANKS
