--- a/src/aspenfold/_internal/network/http_edge.py
+++ b/src/aspenfold/_internal/network/http_edge.py
@@ -19,9 +19,9 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.models import settings
-from aspenfold._internal.network import border
 from aspenfold._internal.network import port_errors
 from aspenfold._internal.network import reply as reply_module
+from aspenfold._internal.network import request_validator
 
 IDLE = 1.0
 """Seconds between two looks whether a silent answer's caller is there."""
@@ -42,7 +42,7 @@
 class Loop(typing.Protocol):
     """What the edge asks of the loop; all calls are thread-safe."""
 
-    def submit(self, raw: border.RawRequest) -> reply_module.Reply:
+    def submit(self, raw: request_validator.RawRequest) -> reply_module.Reply:
         """Hand over a request; its answer comes on the reply."""
 
     def caller_left(self, request_id: str) -> None:
@@ -94,7 +94,12 @@
     ) -> typing.Any:
         match (method, *path):
             case ('POST', 'v1', 'completions'):
-                return self._call('', border.COMPLETIONS, headers, request_id)
+                return self._call(
+                    '',
+                    request_validator.COMPLETIONS_OPERATION,
+                    headers,
+                    request_id,
+                )
             case ('POST', 'services', service, operation):
                 return self._call(service, operation, headers, request_id)
             case ('POST', 'v1', 'tickets'):
@@ -110,13 +115,17 @@
                 cherrypy.response.headers['Content-Type'] = 'text/plain'
                 return self._loop.metrics_text()
             case ('GET', 'admin', 'status'):
-                border.check_operator(headers, self._cfg.operator_key)
+                request_validator.check_operator(
+                    headers, self._cfg.operator_key
+                )
                 return _json(self._loop.admin('status', {}))
             case ('POST', 'admin', 'explain'):
-                border.check_operator(headers, self._cfg.operator_key)
+                request_validator.check_operator(
+                    headers, self._cfg.operator_key
+                )
                 body = self._json_body(headers)
                 return _json(self._loop.admin('explain', body))
-        raise border.refuse(
+        raise request_validator.request_error(
             exceptions.Code.NOT_FOUND,
             f'there is nothing at {method} /{"/".join(path)}',
             field='path',
@@ -138,7 +147,7 @@
         headers: abc.Mapping[str, str],
         request_id: str,
     ) -> typing.Any:
-        raw = border.RawRequest(
+        raw = request_validator.RawRequest(
             service=service,
             operation=operation,
             headers=headers,
@@ -237,7 +246,7 @@
     def _json_body(
         self, headers: abc.Mapping[str, str]
     ) -> dict[str, typing.Any]:
-        return border.parse_object(self._body(headers))
+        return request_validator.parse_object(self._body(headers))
 
 
 def _unexpected(
@@ -261,7 +270,7 @@
 
 
 def _too_large(limit: int) -> exceptions.RequestError:
-    return border.refuse(
+    return request_validator.request_error(
         exceptions.Code.BODY_TOO_LARGE,
         f'the body is larger than {limit} bytes',
         field='body',
@@ -272,11 +281,11 @@
 def _request_id(headers: abc.Mapping[str, str]) -> str:
     # A random part of our own keeps two callers that choose the same id
     # apart.
-    given = headers.get(border.REQUEST_ID, '')
+    given = headers.get(request_validator.REQUEST_ID_HEADER, '')
     own = uuid.uuid4().hex
     if not given or not given.isprintable():
         return own
-    return f'{given[: border.MAX_REQUEST_ID]}-{own[:8]}'
+    return f'{given[: request_validator.MAX_REQUEST_ID_LENGTH]}-{own[:8]}'
 
 
 def _json(value: object) -> bytes:
--- a/src/aspenfold/_internal/network/border.py
+++ b/src/aspenfold/_internal/network/request_validator.py
@@ -15,18 +15,18 @@
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.models import fleet as fleet_model
 
-AUTHORIZATION = 'authorization'
-KEY = 'idempotency-key'
-DEADLINE = 'aspenfold-deadline-ms'
-PRIORITY = 'aspenfold-priority'
-REQUEST_ID = 'x-request-id'
-BEARER = 'Bearer '
-COMPLETIONS = 'completions'
-MAX_KEY = 255
-MAX_REQUEST_ID = 128
+AUTHORIZATION_HEADER = 'authorization'
+IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
+DEADLINE_HEADER = 'aspenfold-deadline-ms'
+PRIORITY_HEADER = 'aspenfold-priority'
+REQUEST_ID_HEADER = 'x-request-id'
+BEARER_PREFIX = 'Bearer '
+COMPLETIONS_OPERATION = 'completions'
+MAX_KEY_LENGTH = 255
+MAX_REQUEST_ID_LENGTH = 128
 
 Code = exceptions.Code
-ORDER = list(fleet_model.Priority)
+PRIORITY_ORDER = list(fleet_model.Priority)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -45,7 +45,7 @@
     request_id: str
 
 
-def refuse(
+def request_error(
     code: Code, detail: str, *, field: str, remedy: str
 ) -> exceptions.RequestError:
     """Return the error for a bad request."""
@@ -56,7 +56,7 @@
     )
 
 
-class Border:
+class RequestValidator:
     """Checks requests against the fleet in force."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
             collections.defaultdict(dict)
         )
 
-    def use(self, fleet: fleet_model.Fleet) -> None:
+    def set_fleet(self, fleet: fleet_model.Fleet) -> None:
         """Check against ``fleet`` from now on."""
         if fleet is self._fleet:
             return
@@ -85,15 +85,15 @@
         self, headers: abc.Mapping[str, str]
     ) -> fleet_model.Organisation:
         """Return the organisation whose credential the request carries."""
-        value = headers.get(AUTHORIZATION, '')
-        secret = value.removeprefix(BEARER)
+        value = headers.get(AUTHORIZATION_HEADER, '')
+        secret = value.removeprefix(BEARER_PREFIX)
         # The look-up is by the hash, which tells a caller who measures
         # its time nothing of use about the secret.
         digest = hashlib.sha256(secret.encode()).hexdigest()
         organisation = self._by_hash.get(digest)
-        if value.startswith(BEARER) and organisation is not None:
+        if value.startswith(BEARER_PREFIX) and organisation is not None:
             return organisation
-        raise refuse(
+        raise request_error(
             Code.UNAUTHENTICATED,
             'no known organisation has this credential',
             field='Authorization',
@@ -101,14 +101,14 @@
             'organisation in the fleet',
         )
 
-    def call(self, raw: RawRequest) -> call_module.Call:
+    def validate(self, raw: RawRequest) -> call_module.Call:
         """Return the validated call; raises RequestError."""
         organisation = self.authenticate(raw.headers)
         body = parse_object(raw.body)
         name = raw.service or _model(body)
         operation = self._operation(name, raw.operation)
         rule = self._rule(organisation.name, name, operation.name)
-        key = raw.headers.get(KEY, '')
+        key = raw.headers.get(IDEMPOTENCY_KEY_HEADER, '')
         _check_key(key, operation)
         wait = _deadline(raw.headers, rule)
         return call_module.Call(
@@ -129,7 +129,7 @@
         self, service: str, operation: str
     ) -> fleet_model.Operation:
         if service not in self._operations:
-            raise refuse(
+            raise request_error(
                 Code.UNKNOWN_SERVICE,
                 f'there is no service {service!r}',
                 field='service',
@@ -137,7 +137,7 @@
             )
         known = self._operations[service]
         if operation not in known:
-            raise refuse(
+            raise request_error(
                 Code.UNKNOWN_OPERATION,
                 f'{service} has no operation {operation!r}',
                 field='operation',
@@ -152,7 +152,7 @@
         rule = self._fleet.rule_for(organisation, service, operation)
         if rule is not None:
             return rule
-        raise refuse(
+        raise request_error(
             Code.NO_RULE,
             f'no rule lets {organisation} call {service}/{operation}',
             field='rules',
@@ -165,7 +165,7 @@
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
-        raise refuse(
+        raise request_error(
             Code.BAD_JSON,
             f'the body is not JSON: {exc}',
             field='body',
@@ -173,7 +173,7 @@
         ) from None
     if isinstance(value, dict):
         return value
-    raise refuse(
+    raise request_error(
         Code.BAD_JSON,
         'the body is not a JSON object',
         field='body',
@@ -185,7 +185,7 @@
     value = body.get('model')
     if isinstance(value, str) and value:
         return value
-    raise refuse(
+    raise request_error(
         Code.BAD_REQUEST,
         'the body names no model',
         field='model',
@@ -195,17 +195,17 @@
 
 def _check_key(key: str, operation: fleet_model.Operation) -> None:
     if not key and not operation.repeatable:
-        raise refuse(
+        raise request_error(
             Code.KEY_REQUIRED,
             f'{operation.name} must not be repeated, so it needs a key',
             field='Idempotency-Key',
             remedy='send an Idempotency-Key of your own, and the same '
             'one when you submit again',
         )
-    if len(key) > MAX_KEY or not key.isprintable():
-        raise refuse(
+    if len(key) > MAX_KEY_LENGTH or not key.isprintable():
+        raise request_error(
             Code.BAD_HEADER,
-            f'the key is longer than {MAX_KEY} printable characters',
+            f'the key is longer than {MAX_KEY_LENGTH} printable characters',
             field='Idempotency-Key',
             remedy='use a UUID',
         )
@@ -214,11 +214,11 @@
 def _deadline(
     headers: abc.Mapping[str, str], rule: fleet_model.Rule
 ) -> datetime.timedelta:
-    text = headers.get(DEADLINE)
+    text = headers.get(DEADLINE_HEADER)
     if text is None:
         return rule.default_deadline_ms * clock.MILLISECOND
     if not text.isascii() or not text.isdigit() or len(text) > 9:
-        raise refuse(
+        raise request_error(
             Code.BAD_HEADER,
             f'{text!r:.40} is not a number of milliseconds',
             field='Aspenfold-Deadline-Ms',
@@ -231,27 +231,27 @@
 def _priority(
     headers: abc.Mapping[str, str], rule: fleet_model.Rule
 ) -> fleet_model.Priority:
-    text = headers.get(PRIORITY)
+    text = headers.get(PRIORITY_HEADER)
     if text is None:
         return rule.priority
-    if text not in ORDER:
-        raise refuse(
+    if text not in PRIORITY_ORDER:
+        raise request_error(
             Code.BAD_HEADER,
             f'{text!r:.40} is not a priority',
             field='Aspenfold-Priority',
-            remedy=f'use one of {[p.value for p in ORDER]}',
+            remedy=f'use one of {[p.value for p in PRIORITY_ORDER]}',
         )
     asked = fleet_model.Priority(text)
     # A caller may ask for less urgency than its rule gives, never more.
-    return max(asked, rule.priority, key=ORDER.index)
+    return max(asked, rule.priority, key=PRIORITY_ORDER.index)
 
 
 def check_operator(headers: abc.Mapping[str, str], operator_key: str) -> None:
     """Raise RequestError unless the request carries the operators' key."""
-    given = headers.get(AUTHORIZATION, '').removeprefix(BEARER)
+    given = headers.get(AUTHORIZATION_HEADER, '').removeprefix(BEARER_PREFIX)
     if hmac.compare_digest(given.encode(), operator_key.encode()):
         return
-    raise refuse(
+    raise request_error(
         Code.UNAUTHENTICATED,
         'this page is for operators',
         field='Authorization',
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -22,10 +22,10 @@
 from aspenfold._internal.models import settings
 from aspenfold._internal.network import agent_client
 from aspenfold._internal.network import auth
-from aspenfold._internal.network import border
 from aspenfold._internal.network import http_edge
 from aspenfold._internal.network import listen
 from aspenfold._internal.network import reply as reply_module
+from aspenfold._internal.network import request_validator
 from aspenfold._internal.observability import events
 from aspenfold._internal.observability import metrics
 from aspenfold._internal.processes import peer_service
@@ -69,7 +69,7 @@
         )
         self.clients = agent_client.AgentClients(system_key=cfg.system_key)
         self.tasks = tasks.Tasks()
-        self._border = border.Border()
+        self._validator = request_validator.RequestValidator()
         self._loop = asyncio.get_running_loop()
         self._feed = platform_feed.PlatformFeed(entry=self, rng=self._rng)
         self.watcher = watcher.Watcher(entry=self)
@@ -112,7 +112,7 @@
 
     # -- from the HTTP edge's threads ------------------------------------
 
-    def submit(self, raw: border.RawRequest) -> reply_module.Reply:
+    def submit(self, raw: request_validator.RawRequest) -> reply_module.Reply:
         """Hand over a request; its answer comes on the reply."""
         reply = reply_module.Reply(loop=self._loop)
         self._loop.call_soon_threadsafe(self._submit_safely, raw, reply)
@@ -148,7 +148,7 @@
     # -- calls -----------------------------------------------------------
 
     def _submit_safely(
-        self, raw: border.RawRequest, reply: reply_module.Reply
+        self, raw: request_validator.RawRequest, reply: reply_module.Reply
     ) -> None:
         try:
             self._submit(raw, reply)
@@ -163,7 +163,7 @@
             reply.put(reply_module.Failed(failure=failure))
 
     def _submit(
-        self, raw: border.RawRequest, reply: reply_module.Reply
+        self, raw: request_validator.RawRequest, reply: reply_module.Reply
     ) -> None:
         fleet = self.kernel.fleet
         if fleet is None:
@@ -175,9 +175,9 @@
             )
             reply.put(reply_module.Failed(failure=failure))
             return
-        self._border.use(fleet)
+        self._validator.set_fleet(fleet)
         try:
-            call = self._border.call(raw)
+            call = self._validator.validate(raw)
         except exceptions.RequestError as exc:
             self.metrics.count('refusals', str(int(exc.failure.code)))
             reply.put(reply_module.Failed(failure=exc.failure))
@@ -200,8 +200,8 @@
     def _ticket(self, body: dict[str, typing.Any]) -> dict[str, typing.Any]:
         fleet = self.kernel.fleet
         if fleet is not None:
-            self._border.use(fleet)
-        organisation = self._border.authenticate(body['headers'])
+            self._validator.set_fleet(fleet)
+        organisation = self._validator.authenticate(body['headers'])
         service = body.get('service')
         now = self.clock.now()
         candidates = self.kernel.view.routable(str(service), now)
--- a/tests/unit/test_border.py
+++ b/tests/unit/test_request_validator.py
@@ -9,7 +9,7 @@
 
 from aspenfold._internal import exceptions
 from aspenfold._internal.models import fleet
-from aspenfold._internal.network import border
+from aspenfold._internal.network import request_validator
 
 Code = exceptions.Code
 
@@ -21,9 +21,9 @@
     body: bytes = b'{}',
     secret: str = fleets.SECRET,
     **headers: str,
-) -> border.RawRequest:
+) -> request_validator.RawRequest:
     """Return a request; header names have underscores for hyphens."""
-    return border.RawRequest(
+    return request_validator.RawRequest(
         service=service,
         operation=operation,
         headers={
@@ -37,10 +37,10 @@
 
 
 @pytest.fixture
-def checks() -> border.Border:
+def validator() -> request_validator.RequestValidator:
     """Return a border that knows the small fleet."""
-    result = border.Border()
-    result.use(fleet.Fleet.model_validate(fleets.document()))
+    result = request_validator.RequestValidator()
+    result.set_fleet(fleet.Fleet.model_validate(fleets.document()))
     return result
 
 
@@ -72,14 +72,14 @@
     ],
 )
 def test_bad_request(
-    checks: border.Border,
+    validator: request_validator.RequestValidator,
     changes: dict[str, typing.Any],
     code: Code,
     field: str,
 ) -> None:
     """The error has a code, names the field and says what to do."""
     with pytest.raises(exceptions.RequestError) as caught:
-        checks.call(raw(**changes))
+        validator.validate(raw(**changes))
     failure = caught.value.failure
     assert failure.code is code
     assert failure.field == field
@@ -90,10 +90,10 @@
 def test_a_caller_may_lower_its_priority_but_not_raise_it() -> None:
     """The rule's priority is the most urgent that a caller gets."""
     document = fleets.document(rules=[{'priority': 'generation'}])
-    checks = border.Border()
-    checks.use(fleet.Fleet.model_validate(document))
-    higher = checks.call(raw(aspenfold_priority='interactive'))
-    lower = checks.call(raw(aspenfold_priority='batch'))
+    validator = request_validator.RequestValidator()
+    validator.set_fleet(fleet.Fleet.model_validate(document))
+    higher = validator.validate(raw(aspenfold_priority='interactive'))
+    lower = validator.validate(raw(aspenfold_priority='batch'))
     assert higher.priority is fleet.Priority.GENERATION
     assert lower.priority is fleet.Priority.BATCH
 
@@ -103,17 +103,19 @@
     document = fleets.document(
         rules=[{'service': 'llm', 'priority': 'generation'}]
     )
-    checks = border.Border()
-    checks.use(fleet.Fleet.model_validate(document))
+    validator = request_validator.RequestValidator()
+    validator.set_fleet(fleet.Fleet.model_validate(document))
     with pytest.raises(exceptions.RequestError) as caught:
-        checks.call(raw())
+        validator.validate(raw())
     assert caught.value.failure.code is Code.NO_RULE
 
 
-def test_model_names_the_service(checks: border.Border) -> None:
+def test_model_names_the_service(
+    validator: request_validator.RequestValidator,
+) -> None:
     """Completion clients name the service as their model."""
     body = json.dumps({'model': 'llm', 'prompt': 'x', 'stream': True})
-    call = checks.call(
+    call = validator.validate(
         raw(service='', operation='completions', body=body.encode())
     )
     assert call.service == 'llm'
