--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.expertmaps import messages
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.network import codec
-from aspenfold._internal.network import leg as leg_module
+from aspenfold._internal.network import frame_queue
 from aspenfold._internal.rpc import aspenfold_grpc as rpc
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
@@ -23,9 +23,12 @@
     kernel: agent_kernel.AgentKernel
 
     def execute(
-        self, number: int, leg: leg_module.Leg, req: frames.AttemptRequest
+        self,
+        number: int,
+        queue: frame_queue.FrameQueue,
+        req: frames.AttemptRequest,
     ) -> None:
-        """Take an attempt whose frames go to ``leg``."""
+        """Take an attempt whose frames go to ``queue``."""
 
     def leg_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
@@ -54,11 +57,11 @@
             return
         number = self._next_leg
         self._next_leg += 1
-        leg = leg_module.Leg()
+        queue = frame_queue.FrameQueue()
         request = codec.request_from_pb(message)
-        self._shell.execute(number, leg, request)
+        self._shell.execute(number, queue, request)
         try:
-            while taken := await leg.take():
+            while taken := await queue.take():
                 for frame in taken:
                     await stream.send_message(codec.frame_to_pb(frame))
                 # Lets frames that arrive together gather into one.
--- a/src/aspenfold/_internal/network/leg.py
+++ b/src/aspenfold/_internal/network/frame_queue.py
@@ -4,11 +4,11 @@
 
 from aspenfold._internal.kernel import frames
 
-MAX_MERGED = 512
+MAX_ITEMS_PER_FRAME = 512
 """Items that may travel in one frame."""
 
 
-class Leg:
+class FrameQueue:
     """Frames for one reader; items that wait together travel together.
 
     A frame is sent at once when the reader is idle.  While a send is
@@ -19,23 +19,23 @@
     def __init__(self) -> None:
         self._frames: list[frames.Frame] = []
         self._closed = False
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
 
     def put(self, frame: frames.Frame) -> None:
         """Queue a frame."""
         self._frames.append(frame)
-        self._news.set()
+        self._changed.set()
 
     def close(self) -> None:
         """Nothing follows what is queued."""
         self._closed = True
-        self._news.set()
+        self._changed.set()
 
     async def take(self) -> list[frames.Frame]:
         """Return what is queued, merged; empty at the end."""
         while not self._frames and not self._closed:
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
         taken, self._frames = self._frames, []
         return merge(taken)
 
@@ -60,7 +60,7 @@
         return None
     if before.first + len(before.items) != after.first:
         return None
-    if len(before.items) + len(after.items) > MAX_MERGED:
+    if len(before.items) + len(after.items) > MAX_ITEMS_PER_FRAME:
         return None
     body = frames.Items(first=before.first, items=before.items + after.items)
     return frames.Frame(attempt_id=two.attempt_id, load=two.load, body=body)
--- a/src/aspenfold/_internal/network/http_edge.py
+++ b/src/aspenfold/_internal/network/http_api.py
@@ -20,8 +20,8 @@
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.models import settings
 from aspenfold._internal.network import port_errors
-from aspenfold._internal.network import reply as reply_module
 from aspenfold._internal.network import request_validator
+from aspenfold._internal.network import response_queue
 
 IDLE = 1.0
 """Seconds between two looks whether a silent answer's caller is there."""
@@ -39,11 +39,13 @@
 """Seconds that a caller may keep a connection without a byte."""
 
 
-class Loop(typing.Protocol):
+class EntryLoop(typing.Protocol):
     """What the edge asks of the loop; all calls are thread-safe."""
 
-    def submit(self, raw: request_validator.RawRequest) -> reply_module.Reply:
-        """Hand over a request; its answer comes on the reply."""
+    def submit(
+        self, raw: request_validator.RawRequest
+    ) -> response_queue.ResponseQueue:
+        """Hand over a request; its answer comes on the response."""
 
     def caller_left(self, request_id: str) -> None:
         """The caller closed its connection."""
@@ -57,13 +59,13 @@
         """Return the metrics as text."""
 
 
-class Api:
+class HttpApi:
     """The routes; see ``docs/API.md``."""
 
     def __init__(
         self,
         *,
-        loop: Loop,
+        loop: EntryLoop,
         cfg: settings.EntrySettings,
         clock: clock_module.Clock,
     ) -> None:
@@ -155,26 +157,29 @@
             received_at=self._clock.now(),
             request_id=request_id,
         )
-        reply = self._loop.submit(raw)
-        first = self._take(reply)
-        if isinstance(first, reply_module.Failed):
+        response = self._loop.submit(raw)
+        first = self._take(response)
+        if isinstance(first, response_queue.Failed):
             return _error(first.failure, request_id)
         assert isinstance(first, frames.Head)
         if first.content_type.startswith(SSE):
-            return self._stream(reply, first, request_id)
-        return self._plain(reply, first, request_id)
+            return self._stream(response, first, request_id)
+        return self._plain(response, first, request_id)
 
     def _plain(
-        self, reply: reply_module.Reply, head: frames.Head, request_id: str
+        self,
+        response: response_queue.ResponseQueue,
+        head: frames.Head,
+        request_id: str,
     ) -> bytes:
         parts: list[bytes] = []
         while True:
-            part = self._take(reply)
-            if isinstance(part, reply_module.Failed):
+            part = self._take(response)
+            if isinstance(part, response_queue.Failed):
                 return _error(part.failure, request_id)
-            if isinstance(part, reply_module.Whole):
+            if isinstance(part, response_queue.Complete):
                 break
-            if isinstance(part, reply_module.Chunk):
+            if isinstance(part, response_queue.Chunk):
                 parts.extend(part.items)
         cherrypy.response.status = head.status
         cherrypy.response.headers['Content-Type'] = head.content_type
@@ -182,24 +187,27 @@
         return b''.join(parts)
 
     def _stream(
-        self, reply: reply_module.Reply, head: frames.Head, request_id: str
+        self,
+        response: response_queue.ResponseQueue,
+        head: frames.Head,
+        request_id: str,
     ) -> abc.Iterator[bytes]:
-        first = self._take(reply)
-        if isinstance(first, reply_module.Failed):
+        first = self._take(response)
+        if isinstance(first, response_queue.Failed):
             return iter((_error(first.failure, request_id),))
         cherrypy.response.status = head.status
         cherrypy.response.headers['Content-Type'] = SSE
         cherrypy.response.headers['Cache-Control'] = 'no-store'
         cherrypy.response.headers['Aspenfold-Outcome'] = 'ran'
-        return self._events(reply, first, request_id)
+        return self._events(response, first, request_id)
 
     def _events(
         self,
-        reply: reply_module.Reply,
-        first: reply_module.Part,
+        response: response_queue.ResponseQueue,
+        first: response_queue.Part,
         request_id: str,
     ) -> abc.Iterator[bytes]:
-        part: reply_module.Part | None = first
+        part: response_queue.Part | None = first
         ended = False
         try:
             while not ended:
@@ -208,24 +216,26 @@
                         # A comment line finds out whether the caller is
                         # still there while the engine is silent.
                         yield b': waiting\n\n'
-                    case reply_module.Chunk():
+                    case response_queue.Chunk():
                         yield _sse_items(part)
-                    case reply_module.Whole(total=total):
+                    case response_queue.Complete(total=total):
                         ended = True
                         yield _sse_end(total)
                         return
-                    case reply_module.Failed(failure=failure):
+                    case response_queue.Failed(failure=failure):
                         ended = True
                         yield _sse_error(failure, request_id)
                         return
-                part = reply.take(IDLE)
+                part = response.take(IDLE)
         finally:
             if not ended:
                 self._loop.caller_left(request_id)
 
-    def _take(self, reply: reply_module.Reply) -> reply_module.Part:
+    def _take(
+        self, response: response_queue.ResponseQueue
+    ) -> response_queue.Part:
         while True:
-            part = reply.take(IDLE)
+            part = response.take(IDLE)
             if part is not None:
                 return part
 
@@ -321,7 +331,7 @@
     return _json(error_document(failure, request_id))
 
 
-def _sse_items(chunk: reply_module.Chunk) -> bytes:
+def _sse_items(chunk: response_queue.Chunk) -> bytes:
     return b''.join(
         b'id: %d\ndata: %s\n\n' % (number, item)
         for number, item in enumerate(chunk.items, start=chunk.first)
@@ -342,7 +352,7 @@
 class HttpServer:
     """CherryPy's server around the API."""
 
-    def __init__(self, *, api: Api, cfg: settings.EntrySettings) -> None:
+    def __init__(self, *, api: HttpApi, cfg: settings.EntrySettings) -> None:
         self._api = api
         self._cfg = cfg
 
--- a/src/aspenfold/_internal/network/reply.py
+++ b/src/aspenfold/_internal/network/response_queue.py
@@ -8,7 +8,7 @@
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import frames
 
-ROOM = 64
+MAX_QUEUED_PARTS = 64
 """Parts that may wait for a slow reader before its leg is paused."""
 
 
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Whole:
+class Complete:
     """The answer is whole and had ``total`` items."""
 
     total: int
@@ -34,35 +34,35 @@
     failure: exceptions.Failure
 
 
-Part = frames.Head | Chunk | Whole | Failed
+Part = frames.Head | Chunk | Complete | Failed
 
 
-class Reply:
+class ResponseQueue:
     """A bounded queue of parts: the loop puts, one thread takes."""
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._parts: collections.deque[Part] = collections.deque()
         self._ready = threading.Semaphore(0)
-        self._room = asyncio.Event()
-        self._room.set()
+        self._has_space = asyncio.Event()
+        self._has_space.set()
 
     def put(self, part: Part) -> None:
         """Add a part; called on the loop's thread, never blocks."""
         self._parts.append(part)
         self._ready.release()
-        if len(self._parts) >= ROOM:
-            self._room.clear()
+        if len(self._parts) >= MAX_QUEUED_PARTS:
+            self._has_space.clear()
 
-    async def room(self) -> None:
+    async def drain(self) -> None:
         """Wait until the reader has caught up."""
-        await self._room.wait()
+        await self._has_space.wait()
 
     def take(self, timeout: float) -> Part | None:
         """Return the next part, None if none came in ``timeout`` seconds."""
         if not self._ready.acquire(timeout=timeout):
             return None
         part = self._parts.popleft()
-        if len(self._parts) == ROOM // 2:
-            self._loop.call_soon_threadsafe(self._room.set)
+        if len(self._parts) == MAX_QUEUED_PARTS // 2:
+            self._loop.call_soon_threadsafe(self._has_space.set)
         return part
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -20,7 +20,7 @@
 from aspenfold._internal.network import auth
 from aspenfold._internal.network import codec
 from aspenfold._internal.network import endpoint_client
-from aspenfold._internal.network import leg as leg_module
+from aspenfold._internal.network import frame_queue
 from aspenfold._internal.network import listen
 from aspenfold._internal.observability import events
 from aspenfold._internal.processes import group_member
@@ -54,7 +54,7 @@
         self._cfg = cfg
         self._clock = clock
         self._version = 0
-        self._legs: dict[int, leg_module.Leg] = {}
+        self._queues: dict[int, frame_queue.FrameQueue] = {}
         self._tasks = tasks.Tasks()
         self._clients = agent_client.AgentClients(system_key=cfg.system_key)
         self._stop = asyncio.Event()
@@ -91,15 +91,18 @@
     # -- from the RPC service --------------------------------------------
 
     def execute(
-        self, number: int, leg: leg_module.Leg, req: frames.AttemptRequest
+        self,
+        number: int,
+        queue: frame_queue.FrameQueue,
+        req: frames.AttemptRequest,
     ) -> None:
-        """Take an attempt whose frames go to ``leg``."""
-        self._legs[number] = leg
+        """Take an attempt whose frames go to ``queue``."""
+        self._queues[number] = queue
         self._apply(self.kernel.execute(number, req, self._clock.now()))
 
     def leg_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
-        self._legs.pop(number, None)
+        self._queues.pop(number, None)
         self._apply(self.kernel.leg_closed(number))
 
     def cancel(self, attempt_id: str) -> None:
@@ -197,7 +200,7 @@
         limit = self._cfg.drain_limit_ms / 1000
         try:
             async with asyncio.timeout(limit):
-                while self._legs or not self.kernel.may_exit:
+                while self._queues or not self.kernel.may_exit:
                     await asyncio.sleep(TICK)
         except TimeoutError:
             events.emit(
@@ -222,13 +225,13 @@
         for action in result:
             match action:
                 case actions.Send(leg=number, frame=frame):
-                    leg = self._legs.get(number)
-                    if leg is not None:
-                        leg.put(frame)
+                    queue = self._queues.get(number)
+                    if queue is not None:
+                        queue.put(frame)
                 case actions.CloseLeg(leg=number):
-                    leg = self._legs.get(number)
-                    if leg is not None:
-                        leg.close()
+                    queue = self._queues.get(number)
+                    if queue is not None:
+                        queue.close()
                 case actions.CallEndpoint(request=request):
                     events.emit(
                         events.Event.ATTEMPT_STARTED,
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -22,10 +22,10 @@
 from aspenfold._internal.models import settings
 from aspenfold._internal.network import agent_client
 from aspenfold._internal.network import auth
-from aspenfold._internal.network import http_edge
+from aspenfold._internal.network import http_api
 from aspenfold._internal.network import listen
-from aspenfold._internal.network import reply as reply_module
 from aspenfold._internal.network import request_validator
+from aspenfold._internal.network import response_queue
 from aspenfold._internal.observability import events
 from aspenfold._internal.observability import metrics
 from aspenfold._internal.processes import peer_service
@@ -73,7 +73,7 @@
         self._loop = asyncio.get_running_loop()
         self._feed = platform_feed.PlatformFeed(entry=self, rng=self._rng)
         self.watcher = watcher.Watcher(entry=self)
-        self._replies: dict[str, reply_module.Reply] = {}
+        self._responses: dict[str, response_queue.ResponseQueue] = {}
         self._started: dict[str, tuple[str, str, datetime.datetime]] = {}
         self._legs: dict[int, asyncio.Task[None]] = {}
         self._stop = asyncio.Event()
@@ -88,8 +88,8 @@
         peer_port = await listen.start(
             peers, self.cfg.peer_listen, 'peer_listen'
         )
-        api = http_edge.Api(loop=self, cfg=self.cfg, clock=self.clock)
-        server = http_edge.HttpServer(api=api, cfg=self.cfg)
+        api = http_api.HttpApi(loop=self, cfg=self.cfg, clock=self.clock)
+        server = http_api.HttpServer(api=api, cfg=self.cfg)
         port = server.start()
         self._feed.start()
         self.tasks.spawn(self._tick())
@@ -112,11 +112,13 @@
 
     # -- from the HTTP edge's threads ------------------------------------
 
-    def submit(self, raw: request_validator.RawRequest) -> reply_module.Reply:
-        """Hand over a request; its answer comes on the reply."""
-        reply = reply_module.Reply(loop=self._loop)
-        self._loop.call_soon_threadsafe(self._submit_safely, raw, reply)
-        return reply
+    def submit(
+        self, raw: request_validator.RawRequest
+    ) -> response_queue.ResponseQueue:
+        """Hand over a request; its answer arrives in the returned queue."""
+        response = response_queue.ResponseQueue(loop=self._loop)
+        self._loop.call_soon_threadsafe(self._submit_safely, raw, response)
+        return response
 
     def caller_left(self, request_id: str) -> None:
         """The caller closed its connection."""
@@ -148,10 +150,12 @@
     # -- calls -----------------------------------------------------------
 
     def _submit_safely(
-        self, raw: request_validator.RawRequest, reply: reply_module.Reply
+        self,
+        raw: request_validator.RawRequest,
+        response: response_queue.ResponseQueue,
     ) -> None:
         try:
-            self._submit(raw, reply)
+            self._submit(raw, response)
         except Exception as exc:
             # Its thread would wait for an answer for ever.
             events.emit(events.Event.UNEXPECTED, error=repr(exc))
@@ -160,10 +164,12 @@
                 detail='the entry failed on this request',
                 remedy='please report it with the request id',
             )
-            reply.put(reply_module.Failed(failure=failure))
+            response.put(response_queue.Failed(failure=failure))
 
     def _submit(
-        self, raw: request_validator.RawRequest, reply: reply_module.Reply
+        self,
+        raw: request_validator.RawRequest,
+        response: response_queue.ResponseQueue,
     ) -> None:
         fleet = self.kernel.fleet
         if fleet is None:
@@ -173,16 +179,16 @@
                 remedy='apply a fleet, or try another entry host',
                 retry_after=datetime.timedelta(seconds=1),
             )
-            reply.put(reply_module.Failed(failure=failure))
+            response.put(response_queue.Failed(failure=failure))
             return
         self._validator.set_fleet(fleet)
         try:
             call = self._validator.validate(raw)
         except exceptions.RequestError as exc:
             self.metrics.count('refusals', str(int(exc.failure.code)))
-            reply.put(reply_module.Failed(failure=exc.failure))
+            response.put(response_queue.Failed(failure=exc.failure))
             return
-        self._replies[call.call_id] = reply
+        self._responses[call.call_id] = response
         self._started[call.call_id] = (
             call.priority.value,
             call.organisation,
@@ -191,7 +197,7 @@
         self.apply(self.kernel.submit(call, self.clock.now()))
 
     def _caller_left(self, request_id: str) -> None:
-        if self._replies.pop(request_id, None) is None:
+        if self._responses.pop(request_id, None) is None:
             return
         self._started.pop(request_id, None)
         events.emit(events.Event.CALLER_LEFT, call=request_id)
@@ -253,33 +259,33 @@
                 case actions.DeliverHead(call_id=call_id, head=head):
                     self._put(call_id, head)
                 case actions.DeliverItems():
-                    part = reply_module.Chunk(
+                    part = response_queue.Chunk(
                         first=action.first, items=action.items
                     )
                     self._put(action.call_id, part)
                 case actions.Finish(call_id=call_id, total=total):
-                    self._end(call_id, reply_module.Whole(total=total))
+                    self._end(call_id, response_queue.Complete(total=total))
                 case actions.Fail(call_id=call_id, failure=failure):
-                    self._end(call_id, reply_module.Failed(failure=failure))
+                    self._end(call_id, response_queue.Failed(failure=failure))
 
-    def _put(self, call_id: str, part: reply_module.Part) -> None:
-        reply = self._replies.get(call_id)
-        if reply is not None:
-            reply.put(part)
+    def _put(self, call_id: str, part: response_queue.Part) -> None:
+        response = self._responses.get(call_id)
+        if response is not None:
+            response.put(part)
 
     def _end(
         self,
         call_id: str,
-        part: reply_module.Whole | reply_module.Failed,
+        part: response_queue.Complete | response_queue.Failed,
     ) -> None:
         self._put(call_id, part)
-        self._replies.pop(call_id, None)
+        self._responses.pop(call_id, None)
         started = self._started.pop(call_id, None)
         if started is not None:
             priority, organisation, since = started
             taken = self.clock.now() - since
             self.metrics.latency(priority, organisation, taken)
-        if isinstance(part, reply_module.Failed):
+        if isinstance(part, response_queue.Failed):
             code = int(part.failure.code)
             self.metrics.count('refusals', str(code))
             events.emit(events.Event.CALL_FAILED, call=call_id, code=code)
@@ -295,7 +301,7 @@
             attempt=action.request.attempt_id,
             endpoint=host.name,
         )
-        reply = self._replies.get(action.request.call_id)
+        response = self._responses.get(action.request.call_id)
         sent = True
         try:
             async for frame in self.clients.execute(
@@ -303,8 +309,8 @@
             ):
                 now = self.clock.now()
                 self.apply(self.kernel.frame(action.leg, frame, now))
-                if reply is not None:
-                    await reply.room()
+                if response is not None:
+                    await response.drain()
         except agent_client.LegLost as exc:
             sent = exc.sent
         if self._legs.pop(action.leg, None) is None:
@@ -355,7 +361,7 @@
         self.kernel.draining = True
         try:
             async with asyncio.timeout(self.cfg.drain_limit_ms / 1000):
-                while self._replies or not self.kernel.may_exit:
+                while self._responses or not self.kernel.may_exit:
                     await asyncio.sleep(TICK)
         except TimeoutError:
             events.emit(events.Event.DRAIN_LIMIT, name=self.name)
@@ -369,9 +375,9 @@
             detail='the entry reached its drain limit',
             remedy='submit again at another entry with the same key',
         )
-        for call_id in list(self._replies):
+        for call_id in list(self._responses):
             self.apply(self.kernel.caller_left(call_id))
-            self._end(call_id, reply_module.Failed(failure=failure))
+            self._end(call_id, response_queue.Failed(failure=failure))
 
     def _add_gauges(self) -> None:
         gauge = self.metrics.gauge
