--- a/src/aspenfold/_internal/gateway/attempt.py
+++ b/src/aspenfold/_internal/gateway/attempt.py
@@ -100,10 +100,10 @@
 
     async def _head(
         self, connection: http1_client.Connection
-    ) -> http1_client.Head:
+    ) -> http1_client.ResponseHead:
         """Wait for the answer's head; a wait tells that a group runs."""
         if not self._core.outages.stands(self._endpoint):
-            return await connection.head()
+            return await connection.read_head()
         loop = asyncio.get_running_loop()
         taken = loop.call_later(
             outage.UNREFUSED.total_seconds(),
@@ -112,7 +112,7 @@
             self._endpoint.group,
         )
         try:
-            return await connection.head()
+            return await connection.read_head()
         finally:
             taken.cancel()
 
@@ -131,7 +131,7 @@
 
     # -- the answer ------------------------------------------------------
 
-    def _judge_head(self, head: http1_client.Head) -> outcome.End:
+    def _judge_head(self, head: http1_client.ResponseHead) -> outcome.End:
         """Return what the head alone tells: not run, lost or answered."""
         headers = list(head.headers)
         load = forwarding.header(headers, self._names.load)
@@ -163,12 +163,14 @@
         return kind is plan_module.Kind.STREAMING and status == 200
 
     async def _take_whole(
-        self, head: http1_client.Head, connection: http1_client.Connection
+        self,
+        head: http1_client.ResponseHead,
+        connection: http1_client.Connection,
     ) -> outcome.End:
         """Hold an answer until it is whole."""
         parts: list[bytes] = []
         size = 0
-        while (data := await connection.data()) is not None:
+        while (data := await connection.read_data()) is not None:
             parts.append(data)
             size += len(data)
             if size > MAX_WHOLE_ANSWER:
@@ -186,26 +188,28 @@
         return outcome.End.FAILED
 
     async def _relay(
-        self, head: http1_client.Head, connection: http1_client.Connection
+        self,
+        head: http1_client.ResponseHead,
+        connection: http1_client.Connection,
     ) -> outcome.End:
         """Pass events on, each as soon as it is whole."""
         answer, cutter = self._call.answer, self._call.cutter
         cutter.drop_rest()
-        while (data := await connection.data()) is not None:
+        while (data := await connection.read_data()) is not None:
             whole = cutter.feed(data)
             if whole:
                 self._begin_stream(head)
-                answer.data(whole)
-                await answer.room()
+                answer.write(whole)
+                await answer.drain()
             if cutter.overflows:
                 return outcome.End.OVERSIZED
         self._begin_stream(head)
         if cutter.rest:
-            answer.data(cutter.rest)
+            answer.write(cutter.rest)
         answer.end()
         return outcome.End.ANSWERED
 
-    def _begin_stream(self, head: http1_client.Head) -> None:
+    def _begin_stream(self, head: http1_client.ResponseHead) -> None:
         if self._history.head_delivered:
             return
         self._history.head_delivered = True
--- a/src/aspenfold/_internal/gateway/call.py
+++ b/src/aspenfold/_internal/gateway/call.py
@@ -29,7 +29,7 @@
 
     clock: clock_module.Clock
     request: http1_server.Request
-    answer: http1_server.Answer
+    answer: http1_server.ResponseWriter
     id: str
     deadline: datetime.datetime
     organisation: str = ''
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -35,7 +35,7 @@
         *,
         core: core_module.Core,
         request: http1_server.Request,
-        answer: http1_server.Answer,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         self._core = core
         self._request = request
@@ -221,7 +221,7 @@
         )
         self._answer.start(held.status, headers)
         if held.body:
-            self._answer.data(held.body)
+            self._answer.write(held.body)
         self._answer.end()
 
     def _end_without_endpoint(self, history: outcome.History) -> None:
@@ -262,7 +262,7 @@
             headers.append((b'retry-after', value))
         status = refusal.status(failure.code)
         self._answer.start(status, headers)
-        self._answer.data(body)
+        self._answer.write(body)
         self._answer.end()
         self._core.metrics.count('refusals', str(int(failure.code)))
         self._finished(
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -124,10 +124,12 @@
                 self._queues.discard(queue)
 
     async def handle(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         """Answer a follower until it leaves or this one stops reading."""
-        if request.target != TARGET or not self._known(request.sender):
+        if request.target != TARGET or not self._known(request.remote_ip):
             self._refuse(answer, 404)
             return
         if not self._reads():
@@ -138,7 +140,7 @@
         try:
             answer.start(200, [])
             for news in self._snapshot():
-                answer.data(encode(news))
+                answer.write(encode(news))
             while self._reads() and queue in self._queues:
                 await self._pass_on(queue, answer)
             answer.end()
@@ -146,17 +148,19 @@
             self._queues.discard(queue)
 
     async def _pass_on(
-        self, queue: asyncio.Queue[bytes], answer: http1_server.Answer
+        self, queue: asyncio.Queue[bytes], answer: http1_server.ResponseWriter
     ) -> None:
         try:
             async with asyncio.timeout(POLL_S):
                 line = await queue.get()
         except TimeoutError:
             return
-        answer.data(line)
-        await answer.room()
+        answer.write(line)
+        await answer.drain()
 
-    def _refuse(self, answer: http1_server.Answer, status: int) -> None:
+    def _refuse(
+        self, answer: http1_server.ResponseWriter, status: int
+    ) -> None:
         answer.start(status, [(b'content-length', b'0')])
         answer.end()
 
@@ -220,7 +224,7 @@
         connection.send(b'GET', TARGET, [(b'host', host.encode())], b'')
         limit = source_module.RELAY_LIMIT.total_seconds()
         async with asyncio.timeout(limit):
-            head = await connection.head()
+            head = await connection.read_head()
         if head.status_code != 200:
             self._tell_end(host, f'it answered {head.status_code}')
             self._source.ended(host)
@@ -229,7 +233,7 @@
         rest = b''
         while self._source.follows(self._clock.now()) == host:
             async with asyncio.timeout(limit):
-                data = await connection.data()
+                data = await connection.read_data()
             if data is None:
                 self._tell_end(host, 'it reads no more')
                 self._source.ended(host)
--- a/src/aspenfold/_internal/network/http1_client.py
+++ b/src/aspenfold/_internal/network/http1_client.py
@@ -10,19 +10,19 @@
 
 import h11
 
-BUFFER_LIMIT = 262_144
+MAX_BUFFERED_BYTES = 262_144
 """Bytes received and not yet read at which reading pauses."""
 
 MAX_HEAD_BYTES = 65_536
 """Largest head of an answer; larger ones count as broken."""
 
-USER_TIMEOUT_MS = 4_000
+TCP_USER_TIMEOUT_MS = 4_000
 """How long sent bytes may stay unacknowledged: over the 1.5 s for which
 endpoints stall, under the 8 s that callers wait."""
 
 Headers = list[tuple[bytes, bytes]]
 
-Head = h11.Response
+ResponseHead = h11.Response
 """Status and headers of an answer, see h11."""
 
 
@@ -58,14 +58,16 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+                socket.IPPROTO_TCP,
+                socket.TCP_USER_TIMEOUT,
+                TCP_USER_TIMEOUT_MS,
             )
 
     def data_received(self, data: bytes) -> None:
         """Keep bytes until they are asked for, up to a bound."""
         self._received.append(data)
         self._buffered += len(data)
-        if self._buffered > BUFFER_LIMIT and self._transport is not None:
+        if self._buffered > MAX_BUFFERED_BYTES and self._transport is not None:
             self._paused = True
             self._transport.pause_reading()
         self._wake()
@@ -91,7 +93,7 @@
     # -- for callers -----------------------------------------------------
 
     @property
-    def usable(self) -> bool:
+    def reusable(self) -> bool:
         """Whether another request may be sent on it."""
         return (
             not self._ended
@@ -111,7 +113,7 @@
         if self._transport is not None and not self._ended:
             self._transport.write(b''.join(parts))
 
-    async def head(self) -> Head:
+    async def read_head(self) -> ResponseHead:
         """Return the head of the answer, past informational ones."""
         while True:
             event = await self._next()
@@ -120,7 +122,7 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise ConnectionLost(f'unexpected {event!r:.60}')
 
-    async def data(self) -> bytes | None:
+    async def read_data(self) -> bytes | None:
         """Return the next bytes of the answer's body, None at its end."""
         event = await self._next()
         if isinstance(event, h11.Data):
@@ -129,7 +131,7 @@
             return None
         raise ConnectionLost(f'unexpected {event!r:.60}')
 
-    async def whole(
+    async def request(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> tuple[int, bytes]:
         """Send a request; return its answer's status and whole body.
@@ -138,17 +140,17 @@
         """
         try:
             self.send(method, target, headers, body)
-            head = await self.head()
+            head = await self.read_head()
             parts = []
-            while (data := await self.data()) is not None:
+            while (data := await self.read_data()) is not None:
                 parts.append(data)
         except BaseException:
             self.close()
             raise
-        self.finish()
+        self.reset_for_reuse()
         return head.status_code, b''.join(parts)
 
-    def finish(self) -> None:
+    def reset_for_reuse(self) -> None:
         """Make the connection ready for the next request, if it can be."""
         if (
             self._parser.our_state is h11.DONE
@@ -190,7 +192,7 @@
             await self._waiter
         data = self._received.popleft()
         self._buffered -= len(data)
-        if self._paused and self._buffered <= BUFFER_LIMIT // 2:
+        if self._paused and self._buffered <= MAX_BUFFERED_BYTES // 2:
             self._paused = False
             if self._transport is not None and not self._ended:
                 self._transport.resume_reading()
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -19,16 +19,16 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-WRITE_LIMIT = 65_536
+MAX_UNSENT_BYTES = 65_536
 """Bytes that may wait for a slow reader before its answer pauses."""
 
-SLOW_READER_LIMIT = datetime.timedelta(seconds=10)
+SLOW_READER_TIMEOUT = datetime.timedelta(seconds=10)
 """How long an answer may wait for its reader; over every timeout."""
 
-MAX_REQUEST_BUFFER = 65_536
+MAX_PIPELINED_BYTES = 65_536
 """Bytes of a next request that may wait while one is answered."""
 
-USER_TIMEOUT_MS = 10_000
+TCP_USER_TIMEOUT_MS = 10_000
 """How long sent bytes may stay unacknowledged by a caller."""
 
 Headers = list[tuple[bytes, bytes]]
@@ -38,7 +38,7 @@
 class Request:
     """A whole request; header names are in lower case.
 
-    ``sender`` is the IP address that it came from.
+    ``remote_ip`` is the IP address that it came from.
     """
 
     method: bytes
@@ -46,8 +46,8 @@
     headers: Headers
     body: bytes
     received_at: datetime.datetime
-    kept: bool
-    sender: str = ''
+    connection_reused: bool
+    remote_ip: str = ''
 
     def header(self, name: bytes) -> bytes:
         """Return the header's value, empty if it is absent."""
@@ -57,11 +57,11 @@
         return b''
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection or does not read."""
 
 
-class Answer(typing.Protocol):
+class ResponseWriter(typing.Protocol):
     """Where the answer to one request is written."""
 
     @property
@@ -71,7 +71,7 @@
     def start(self, status: int, headers: Headers) -> None:
         """Send the head; without a length the body is chunked."""
 
-    def data(self, body: bytes) -> None:
+    def write(self, body: bytes) -> None:
         """Send a piece of the body."""
 
     def end(self) -> None:
@@ -80,18 +80,21 @@
     def abort(self) -> None:
         """End the connection so that the answer looks incomplete."""
 
-    async def room(self) -> None:
-        """Wait until the caller has read enough, or raise CallerGone."""
+    async def drain(self) -> None:
+        """Wait until the caller has read enough.
 
+        Raises CallerDisconnected.
+        """
 
-Handler = abc.Callable[[Request, Answer], abc.Awaitable[None]]
 
+RequestHandler = abc.Callable[[Request, ResponseWriter], abc.Awaitable[None]]
 
-class Host(typing.Protocol):
+
+class ConnectionOwner(typing.Protocol):
     """What a connection needs of its server."""
 
     clock: clock_module.Clock
-    handler: Handler
+    handler: RequestHandler
     closing: bool
     connections: 'set[ServerConnection]'
 
@@ -102,10 +105,10 @@
 class ServerConnection(asyncio.Protocol):
     """One caller's connection: requests in, answers out, in order."""
 
-    def __init__(self, *, host: Host) -> None:
-        self._host = host
+    def __init__(self, *, owner: ConnectionOwner) -> None:
+        self._owner = owner
         self._loop = asyncio.get_running_loop()
-        self._limits = host.limits()
+        self._limits = owner.limits()
         self._parser = self._new_parser()
         self._transport: asyncio.Transport | None = None
         self._head: h11.Request | None = None
@@ -114,10 +117,10 @@
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._served = 0
-        self._begun = False
+        self._receiving = False
         self._writable = asyncio.Event()
         self._writable.set()
-        self._sender = ''
+        self._remote_ip = ''
         self.started = False
 
     def _new_parser(self) -> h11.Connection:
@@ -131,28 +134,30 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to wait for the first request."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=WRITE_LIMIT)
+        self._transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         sock = transport.get_extra_info('socket')
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+                socket.IPPROTO_TCP,
+                socket.TCP_USER_TIMEOUT,
+                TCP_USER_TIMEOUT_MS,
             )
         peer = transport.get_extra_info('peername')
         if peer is not None:
-            self._sender = peer[0]
-        self._host.connections.add(self)
+            self._remote_ip = peer[0]
+        self._owner.connections.add(self)
         self._wait(self._limits.idle_timeout)
 
     def data_received(self, data: bytes) -> None:
         """Parse; a request that is complete starts its task."""
         self._parser.receive_data(data)
         if self._task is not None:
-            if len(self._parser.trailing_data[0]) > MAX_REQUEST_BUFFER:
+            if len(self._parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
                 self._pause()
             return
-        if not self._begun:
-            self._begun = True
+        if not self._receiving:
+            self._receiving = True
             self._wait(self._limits.header_timeout)
         self._parse()
 
@@ -162,7 +167,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The caller is gone; its request is given up."""
-        self._host.connections.discard(self)
+        self._owner.connections.discard(self)
         self._stop_timer()
         self._writable.set()
         self._transport = None
@@ -236,9 +241,9 @@
             target=head.target,
             headers=list(head.headers),
             body=b''.join(self._body),
-            received_at=self._host.clock.now(),
-            kept=self._served > 0,
-            sender=self._sender,
+            received_at=self._owner.clock.now(),
+            connection_reused=self._served > 0,
+            remote_ip=self._remote_ip,
         )
         self._body = []
         self.started = False
@@ -247,8 +252,8 @@
 
     async def _answer(self, request: Request) -> None:
         try:
-            await self._host.handler(request, self)
-        except CallerGone:
+            await self._owner.handler(request, self)
+        except CallerDisconnected:
             self.abort()
         except asyncio.CancelledError:
             self.abort()
@@ -276,8 +281,8 @@
             self._transport.close()
             return
         parser.start_next_cycle()
-        self._limits = self._host.limits()
-        self._begun = bool(parser.trailing_data[0])
+        self._limits = self._owner.limits()
+        self._receiving = bool(parser.trailing_data[0])
         self._wait(self._limits.idle_timeout)
         self._transport.resume_reading()
         self._parse()
@@ -299,7 +304,7 @@
         ]
         try:
             self.start(status, headers)
-            self.data(phrase)
+            self.write(phrase)
             self.end()
         except h11.LocalProtocolError:
             # The answer had begun, or the request is beyond repair.
@@ -323,24 +328,22 @@
             self._timer = None
 
     def _timed_out(self) -> None:
-        if self._begun:
+        if self._receiving:
             self._refuse(408)
         elif self._transport is not None:
             self._transport.close()
 
-    # -- the answer, see Answer ------------------------------------------
-
     def start(self, status: int, headers: Headers) -> None:
         """Send the head; without a length the body is chunked."""
         reason = http.HTTPStatus(status).phrase.encode()
-        if self._host.closing:
+        if self._owner.closing:
             headers = [*headers, (b'connection', b'close')]
         self.started = True
         self._send(
             h11.Response(status_code=status, headers=headers, reason=reason)
         )
 
-    def data(self, body: bytes) -> None:
+    def write(self, body: bytes) -> None:
         """Send a piece of the body."""
         self._send(h11.Data(data=body))
 
@@ -353,17 +356,20 @@
         if self._transport is not None:
             self._transport.close()
 
-    async def room(self) -> None:
-        """Wait until the caller has read enough, or raise CallerGone."""
+    async def drain(self) -> None:
+        """Wait until the caller has read enough.
+
+        Raises CallerDisconnected.
+        """
         if self._writable.is_set():
             return
         try:
-            async with asyncio.timeout(SLOW_READER_LIMIT.total_seconds()):
+            async with asyncio.timeout(SLOW_READER_TIMEOUT.total_seconds()):
                 await self._writable.wait()
         except TimeoutError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
         if self._transport is None:
-            raise CallerGone
+            raise CallerDisconnected
 
     def _send(self, event: typing.Any) -> None:
         data = self._parser.send(event)
@@ -377,7 +383,7 @@
     @property
     def idle(self) -> bool:
         """Whether no request is being read or answered."""
-        return self._task is None and not self._begun
+        return self._task is None and not self._receiving
 
     def close_if_idle(self) -> None:
         """Close a kept connection on which no request is under way."""
@@ -391,7 +397,7 @@
     def __init__(
         self,
         *,
-        handler: Handler,
+        handler: RequestHandler,
         clock: clock_module.Clock,
         limits: abc.Callable[[], plan.Limits],
     ) -> None:
@@ -406,10 +412,10 @@
         """Listen; return the port, which may have been given as 0."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ServerConnection(host=self),
+            lambda: ServerConnection(owner=self),
             host,
             port,
-            backlog=BACKLOG,
+            backlog=ACCEPT_BACKLOG,
             reuse_address=True,
         )
         return int(self._server.sockets[0].getsockname()[1])
@@ -425,5 +431,5 @@
             self._server.close()
 
 
-BACKLOG = 512
+ACCEPT_BACKLOG = 512
 """Connections that may wait to be accepted: a burst of all callers."""
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -137,7 +137,9 @@
             in_flight=lambda: self._in_flight,
         )
 
-    def _server(self, handler: http1_server.Handler) -> http1_server.Server:
+    def _server(
+        self, handler: http1_server.RequestHandler
+    ) -> http1_server.Server:
         return http1_server.Server(
             handler=handler,
             clock=self._clock,
@@ -234,7 +236,9 @@
     # -- requests --------------------------------------------------------
 
     async def _handle(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         self._in_flight += 1
         try:
@@ -279,13 +283,17 @@
         return self._core.plan_version
 
     async def _answer_health(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         answer.start(200 if self.ready else 503, [(b'content-length', b'0')])
         answer.end()
 
     async def _answer_metrics(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         body = self._core.metrics.text()
         headers = [
@@ -293,7 +301,7 @@
             (b'content-length', str(len(body)).encode()),
         ]
         answer.start(200, headers)
-        answer.data(body)
+        answer.write(body)
         answer.end()
 
     # -- the end ---------------------------------------------------------
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -117,7 +117,9 @@
         events.emit(events.Event.RELOADED, name=self._cfg.name)
 
     async def _handle(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         if not self._passes_on(request):
             _answer(answer, 404, b'')
@@ -129,7 +131,9 @@
             self._in_flight -= 1
 
     async def _pass_on(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         engine = self._cfg.engine
         try:
@@ -155,9 +159,11 @@
         return is_order and request.target == self._order
 
 
-def _answer(answer: http1_server.Answer, status: int, body: bytes) -> None:
+def _answer(
+    answer: http1_server.ResponseWriter, status: int, body: bytes
+) -> None:
     length = str(len(body)).encode()
     answer.start(status, [(b'content-length', length)])
     if body:
-        answer.data(body)
+        answer.write(body)
     answer.end()
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -206,7 +206,7 @@
         self, host: str, port: int, method: bytes, path: bytes, body: bytes
     ) -> tuple[int, bytes]:
         kept = self._idle.pop((host, port), None)
-        if kept is not None and kept.usable:
+        if kept is not None and kept.reusable:
             connection = kept
         else:
             connection = await http1_client.connect(
@@ -219,12 +219,12 @@
                 (b'content-length', str(len(body)).encode()),
             ]
         try:
-            answer = await connection.whole(method, path, headers, body)
+            answer = await connection.request(method, path, headers, body)
         except BaseException:
             # A call that is given up must not keep its connection.
             connection.close()
             raise
-        if connection.usable and method == b'GET':
+        if connection.reusable and method == b'GET':
             self._drop(host, port)
             self._idle[host, port] = connection
         else:
--- a/src/aspenfold/platform/store.py
+++ b/src/aspenfold/platform/store.py
@@ -153,12 +153,12 @@
             (b'content-length', str(len(body)).encode()),
         ]
         try:
-            answer = await connection.whole(
+            answer = await connection.request(
                 method, target.encode(), headers, body
             )
         finally:
             self._busy.discard(connection)
-        if connection.usable and len(self._idle) < IDLE_KEPT:
+        if connection.reusable and len(self._idle) < IDLE_KEPT:
             self._idle.append(connection)
         else:
             connection.close()
@@ -167,7 +167,7 @@
     async def _connection(self) -> http1_client.Connection:
         while self._idle:
             connection = self._idle.popleft()
-            if connection.usable:
+            if connection.reusable:
                 return connection
             connection.close()
         return await http1_client.connect(
--- a/tests/unit/test_http1_server.py
+++ b/tests/unit/test_http1_server.py
@@ -43,13 +43,13 @@
         transport = Transport()
 
         async def handler(
-            request: http1_server.Request, answer: http1_server.Answer
+            request: http1_server.Request, answer: http1_server.ResponseWriter
         ) -> None:
             answer.start(200, [])
-            answer.data(b'one')
+            answer.write(b'one')
             transport.lost = True
             for _ in range(9):
-                answer.data(b'more')
+                answer.write(b'more')
             answered.set()
 
         server = http1_server.Server(
@@ -57,7 +57,7 @@
             clock=clock.SteadyClock(),
             limits=lambda: plan.DEFAULT_LIMITS,
         )
-        connection = http1_server.ServerConnection(host=server)
+        connection = http1_server.ServerConnection(owner=server)
         connection.connection_made(typing.cast(typing.Any, transport))
         connection.data_received(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
         async with asyncio.timeout(5):
