--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -6,7 +6,7 @@
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.observability import events
 from aspenfold._internal.processes import gateway
-from aspenfold.platform import connect
+from aspenfold.platform import factory
 from aspenfold.platform import headers
 from aspenfold.platform import settings
 
@@ -17,15 +17,15 @@
 
 
 def _serve() -> exits.Exit:
-    cfg = settings.load(settings.path())
+    cfg = settings.load_gateway(settings.path_from_environment())
     events.configure_output()
-    platform = connect.platform(cfg.store)
+    platform = factory.create_platform(cfg.store)
 
     async def run() -> None:
         process = gateway.GatewayProcess(
             cfg=cfg,
             platform=platform,
-            dialect=headers.DIALECT,
+            dialect=headers.HEADER_NAMES,
             clock=clock.SteadyClock(),
         )
         await process.run()
--- a/src/aspenfold/cli/plan.py
+++ b/src/aspenfold/cli/plan.py
@@ -12,7 +12,7 @@
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings
 from aspenfold.platform import config
-from aspenfold.platform import connect
+from aspenfold.platform import factory
 from aspenfold.platform import settings as platform_settings
 
 Result = typing.TypeVar('Result')
@@ -74,7 +74,7 @@
         question: abc.Callable[[ports.Platform], abc.Awaitable[Result]],
     ) -> Result:
         async def ask() -> Result:
-            return await question(connect.platform(self._address()))
+            return await question(factory.create_platform(self._address()))
 
         try:
             return asyncio.run(ask())
@@ -90,8 +90,10 @@
 
     def _address(self) -> settings.TcpAddress:
         if self._store:
-            return platform_settings.address(self._store, 'store')
-        found = platform_settings.load(platform_settings.path())
+            return platform_settings.parse_address(self._store, 'store')
+        found = platform_settings.load_gateway(
+            platform_settings.path_from_environment()
+        )
         return found.store
 
 
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -17,15 +17,15 @@
 
 
 def _serve() -> exits.Exit:
-    cfg = settings.load_rank_agent(settings.path())
+    cfg = settings.load_rank_agent(settings.path_from_environment())
     events.configure_output()
 
     async def run() -> None:
         agent = rank_agent.RankAgent(
             cfg=cfg,
             engine=engine.EngineClient(),
-            questions=engine.QUESTIONS,
-            order=engine.ORDER,
+            questions=engine.READ_TARGETS,
+            order=engine.ORDER_TARGET,
             clock=clock.SteadyClock(),
         )
         await agent.run()
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -16,18 +16,18 @@
 """Engines answer in a few milliseconds, or, when orders are late,
 never."""
 
-MIN_PACE = 0.1
+MIN_SLOWDOWN = 0.1
 """A faster rank than this is taken to report nonsense."""
 
-REPORT = b'/api/report'
-COUNTS = b'/api/picked'
-HELD = b'/api/picked?lists=1'
-ORDER = b'/api/order'
+REPORT_TARGET = b'/api/report'
+COUNTS_TARGET = b'/api/picked'
+MAP_TARGET = b'/api/picked?lists=1'
+ORDER_TARGET = b'/api/order'
 
-QUESTIONS = frozenset({REPORT, COUNTS, HELD})
+READ_TARGETS = frozenset({REPORT_TARGET, COUNTS_TARGET, MAP_TARGET})
 """What leaders ask of an engine; beside these an agent passes on orders."""
 
-OP_NAMES = {
+WIRE_OPS = {
     ranks.Op.PREPARE: 'prepare',
     ranks.Op.ARM: 'arm',
     ranks.Op.DISARM: 'disarm',
@@ -35,7 +35,7 @@
     ranks.Op.RELEASE: 'go',
 }
 
-ANSWERS = {
+ANSWER_BY_STATUS = {
     200: ranks.Answer.ACCEPTED,
     202: ranks.Answer.ACCEPTED,
     412: ranks.Answer.FENCED,
@@ -99,7 +99,7 @@
 
     async def report(self, host: str, port: int) -> ranks.Report:
         """Return a rank's report, or raise ``ports.EngineSilent``."""
-        body = await self._get(host, port, REPORT)
+        body = await self._get(host, port, REPORT_TARGET)
         try:
             found = _Report.model_validate_json(body)
         except pydantic.ValidationError as exc:
@@ -120,12 +120,12 @@
             prepared=found.prepared,
             armed=armed,
             held=found.held,
-            pace=max(MIN_PACE, found.pace),
+            pace=max(MIN_SLOWDOWN, found.pace),
         )
 
     async def counts(self, host: str, port: int) -> ranks.Counts:
         """Return how often the rank's requests chose each expert."""
-        body = await self._get(host, port, COUNTS)
+        body = await self._get(host, port, COUNTS_TARGET)
         try:
             found = _Counts.model_validate_json(body)
         except pydantic.ValidationError as exc:
@@ -134,7 +134,7 @@
 
     async def held(self, host: str, port: int) -> ranks.RankMap:
         """Return the experts that the rank uses."""
-        body = await self._get(host, port, HELD)
+        body = await self._get(host, port, MAP_TARGET)
         try:
             found = _Lists.model_validate_json(body).map
         except pydantic.ValidationError as exc:
@@ -149,7 +149,7 @@
     ) -> ranks.Answer:
         """Give an order; silence is one of its answers."""
         message: dict[str, object] = {
-            'op': OP_NAMES[order.op],
+            'op': WIRE_OPS[order.op],
             'epoch': order.epoch,
             'fencing_token': order.token,
         }
@@ -161,11 +161,11 @@
             message['map'] = order.new_map
         try:
             status, _ = await self.forward(
-                host, port, ORDER, orjson.dumps(message)
+                host, port, ORDER_TARGET, orjson.dumps(message)
             )
         except ports.EngineSilent:
             return ranks.Answer.NONE
-        return ANSWERS.get(status, ranks.Answer.REFUSED)
+        return ANSWER_BY_STATUS.get(status, ranks.Answer.REFUSED)
 
     async def _get(self, host: str, port: int, path: bytes) -> bytes:
         status, body = await self.forward(host, port, path)
--- a/src/aspenfold/platform/connect.py
+++ b/src/aspenfold/platform/factory.py
@@ -3,19 +3,19 @@
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings
 from aspenfold.platform import config
+from aspenfold.platform import endpoint_records
 from aspenfold.platform import engine
-from aspenfold.platform import members
 from aspenfold.platform import store
 
 
-def platform(address: settings.TcpAddress) -> ports.Platform:
+def create_platform(address: settings.TcpAddress) -> ports.Platform:
     """Return the platform whose store is at ``address``."""
     return ports.Platform(
         store=store.StoreClient(address=address),
         plan_topic=config.TOPIC,
         plan_key=config.KEY,
         decode_plan=config.decode,
-        endpoint_topic=members.TOPIC,
-        decode_listing=members.decode,
+        endpoint_topic=endpoint_records.TOPIC,
+        decode_listing=endpoint_records.decode,
         engine=engine.EngineClient(),
     )
--- a/src/aspenfold/platform/headers.py
+++ b/src/aspenfold/platform/headers.py
@@ -5,7 +5,7 @@
 
 from aspenfold._internal.gateway import dialect
 
-DIALECT = dialect.HeaderNames(
+HEADER_NAMES = dialect.HeaderNames(
     # One attempt of a caller.  Endpoints echo it, which tells a late
     # answer to an earlier request from the answer to this one.
     attempt_id=b'x-aspenfold-attempt-id',
--- a/src/aspenfold/platform/settings.py
+++ b/src/aspenfold/platform/settings.py
@@ -8,7 +8,7 @@
 from aspenfold._internal.gateway import settings
 from aspenfold._internal.models import base
 
-VARIABLE = 'ASPENFOLD_SETTINGS'
+PATH_VARIABLE = 'ASPENFOLD_SETTINGS'
 """The environment variable that holds the file's path."""
 
 METRICS_PORT = 9464
@@ -64,22 +64,22 @@
     platform: _Store
 
 
-def path() -> str:
+def path_from_environment() -> str:
     """Return the settings file's path, or raise a coded error."""
-    value = os.environ.get(VARIABLE, '')
+    value = os.environ.get(PATH_VARIABLE, '')
     if value:
         return value
     raise exceptions.SettingsError(
         exceptions.Failure(
             code=exceptions.Code.SETTINGS_INVALID,
             detail='no settings file is named',
-            field=VARIABLE,
-            remedy=f'set {VARIABLE} to the path of the settings file',
+            field=PATH_VARIABLE,
+            remedy=f'set {PATH_VARIABLE} to the path of the settings file',
         )
     )
 
 
-def load(file_path: str) -> settings.GatewaySettings:
+def load_gateway(file_path: str) -> settings.GatewaySettings:
     """Read the file, or raise a coded error that names the field."""
     found = base.load_model(
         file_path, _File, code=exceptions.Code.SETTINGS_INVALID
@@ -90,10 +90,10 @@
         address=found.ip,
         peer_port=found.internal_port_range[0],
         agent_port=found.agent_port,
-        callers=_optional(found.listen.front, 'listen.front'),
-        health=_optional(found.listen.ready, 'listen.ready'),
+        callers=_optional_address(found.listen.front, 'listen.front'),
+        health=_optional_address(found.listen.ready, 'listen.ready'),
         metrics=settings.TcpAddress(host=found.ip, port=METRICS_PORT),
-        store=address(found.platform.address, 'platform.address'),
+        store=parse_address(found.platform.address, 'platform.address'),
         grace_s=found.bounds.grace_s,
         retry_ratio=found.bounds.retry_budget_ratio,
         retry_slack=found.bounds.retry_budget_slack,
@@ -118,15 +118,15 @@
         name=found.node,
         availability_zone=found.zone,
         listen=settings.TcpAddress(host=found.ip, port=found.agent_port),
-        engine=address(found.app, 'app'),
+        engine=parse_address(found.app, 'app'),
     )
 
 
-def _optional(text: str, field: str) -> settings.TcpAddress | None:
-    return address(text, field) if text else None
+def _optional_address(text: str, field: str) -> settings.TcpAddress | None:
+    return parse_address(text, field) if text else None
 
 
-def address(text: str, field: str) -> settings.TcpAddress:
+def parse_address(text: str, field: str) -> settings.TcpAddress:
     """Decode "IP:PORT", or raise a coded error that names ``field``."""
     host, _, port = text.rpartition(':')
     if host and port.isdigit() and int(port) < 65536:
--- a/src/aspenfold/platform/store.py
+++ b/src/aspenfold/platform/store.py
@@ -19,12 +19,12 @@
 CALL_TIMEOUT_S = 0.7
 """The store answers in 4 ms; when slow, in about 60 times that."""
 
-OFFSETS = struct.Struct('>QQ')
+PAGE_HEADER = struct.Struct('>QQ')
 """The end and the first kept offset, before the records of a page."""
 
-LENGTH = struct.Struct('>I')
+RECORD_LENGTH = struct.Struct('>I')
 
-IDLE_KEPT = 2
+MAX_IDLE_CONNECTIONS = 2
 """Connections kept for the next call: one a feed."""
 
 
@@ -69,12 +69,12 @@
         if wait_s:
             query['wait_ms'] = str(int(wait_s * 1000))
         body = await self._get('/api/log-read', query, wait_s)
-        end, _first = OFFSETS.unpack_from(body)
+        end, _first = PAGE_HEADER.unpack_from(body)
         records = []
-        position = OFFSETS.size
+        position = PAGE_HEADER.size
         while position < len(body):
-            (length,) = LENGTH.unpack_from(body, position)
-            position += LENGTH.size
+            (length,) = RECORD_LENGTH.unpack_from(body, position)
+            position += RECORD_LENGTH.size
             content = body[position : position + length]
             position += length
             records.append(_keyed(offset, content))
@@ -103,7 +103,7 @@
             query['expected_offset'] = str(expected_offset)
         target = f'/api/log-append?{urllib.parse.urlencode(query)}'
         content = bytes([len(key)]) + key.encode() + value
-        body = LENGTH.pack(len(content)) + content
+        body = RECORD_LENGTH.pack(len(content)) + content
         status, answer = await self._call(b'POST', target, body, 0.0)
         if status == 200:
             return int(orjson.loads(answer)['offset'])
@@ -158,7 +158,7 @@
             )
         finally:
             self._busy.discard(connection)
-        if connection.reusable and len(self._idle) < IDLE_KEPT:
+        if connection.reusable and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             connection.close()
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -356,7 +356,9 @@
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.hang, 'model')
         worker.slots = 1
-        await rig.store.put(rigs.members.TOPIC, 'w-1', worker.entry('model'))
+        await rig.store.put(
+            rigs.endpoint_records.TOPIC, 'w-1', worker.entry('model')
+        )
         await rig.ready()
         _, writer = await rig.connect()
         writer.write(rig.head('/model/')[1])
@@ -379,7 +381,7 @@
 
     async def scene(rig: rigs.Rig) -> None:
         leaving, _ = await two(rig, workers.whole, workers.whole)
-        topic = rigs.members.TOPIC
+        topic = rigs.endpoint_records.TOPIC
         if how == 'removed':
             await rig.store.remove(topic, 'w-1')
         else:
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -50,7 +50,7 @@
         await worker.start()
         rig.workers.append(worker)
         entry = worker.entry('model')
-        await rig.store.put(rigs.members.TOPIC, worker.name, entry)
+        await rig.store.put(rigs.endpoint_records.TOPIC, worker.name, entry)
 
 
 async def standing(
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -48,7 +48,7 @@
 
 def environment(path: pathlib.Path) -> dict[str, str]:
     """Return the environment with the settings file's path."""
-    return {**os.environ, settings.VARIABLE: str(path)}
+    return {**os.environ, settings.PATH_VARIABLE: str(path)}
 
 
 async def get(port: int, path: str) -> tuple[int, bytes]:
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize(
     ('text', 'field'),
     [
-        (None, settings.VARIABLE),
+        (None, settings.PATH_VARIABLE),
         ('{"node": "n", "ip": "127.0.0.9"}', 'zone'),
         ('not json', 'settings.json'),
     ],
@@ -170,7 +170,7 @@
     path = tmp_path / 'settings.json'
     env = environment(path)
     if text is None:
-        del env[settings.VARIABLE]
+        del env[settings.PATH_VARIABLE]
     else:
         path.write_text(text)
     ended = subprocess.run(
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 from aspenfold._internal.processes import gateway
-from aspenfold.platform import members
+from aspenfold.platform import endpoint_records
 from tests.lib import free_ports
 from tests.lib import gateway_rig as rigs
 from tests.soak import links
@@ -70,7 +70,9 @@
             worker = await found.rig.add_worker('w-2')
             await rigs.until(lambda: second.routable('plain') == 2)
             await found.rig.store.put(
-                members.TOPIC, 'w-2', worker.entry('plain', 'draining')
+                endpoint_records.TOPIC,
+                'w-2',
+                worker.entry('plain', 'draining'),
             )
             await rigs.until(lambda: second.routable('plain') == 1)
 
--- a/tests/functional/test_plan_program.py
+++ b/tests/functional/test_plan_program.py
@@ -7,7 +7,7 @@
 
 from aspenfold._internal.commands import exits
 from aspenfold.platform import config
-from aspenfold.platform import members
+from aspenfold.platform import endpoint_records
 from tests.lib import gateway_rig as rigs
 
 PROGRAM = (
@@ -46,7 +46,7 @@
         await rig.configure(more)
         worker = await rig.add_worker('w-1')
         await rig.store.put(
-            members.TOPIC, 'w-1', worker.entry('plain', 'draining')
+            endpoint_records.TOPIC, 'w-1', worker.entry('plain', 'draining')
         )
         status, out, _ = await run(port, 'status', '--json')
         assert status == exits.Exit.OK
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -51,8 +51,8 @@
             ),
         ),
         engine=engine_module.EngineClient(),
-        questions=engine_module.QUESTIONS,
-        order=engine_module.ORDER,
+        questions=engine_module.READ_TARGETS,
+        order=engine_module.ORDER_TARGET,
         clock=clock.SteadyClock(),
     )
 
@@ -73,16 +73,16 @@
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
         one = agent(port, rank)
         await one.start()
-        for target in (engine_module.COUNTS, engine_module.HELD):
+        for target in (engine_module.COUNTS_TARGET, engine_module.MAP_TARGET):
             assert await ask(port, target) == await ask(rank.port, target)
         assert (await ask(port, b'/health'))[0] == 404
         client = engine_module.EngineClient()
-        for target in (engine_module.REPORT, b'/v1/completions'):
+        for target in (engine_module.REPORT_TARGET, b'/v1/completions'):
             status, _ = await client.forward(
                 rigs.LOOPBACK, port, target, b'{}'
             )
             assert status == 404
-        assert (await ask(port, engine_module.ORDER))[0] == 404
+        assert (await ask(port, engine_module.ORDER_TARGET))[0] == 404
         order = ranks.Order(
             rank=0,
             op=ranks.Op.HOLD,
@@ -112,7 +112,7 @@
         one = agent(port, rank)
         await one.start()
         with pytest.raises(ports.EngineSilent):
-            await ask(port, engine_module.REPORT)
+            await ask(port, engine_module.REPORT_TARGET)
         assert one.silent == 1
         await one.finish()
         await rank.stop()
@@ -142,7 +142,7 @@
         one = agent(port, rank)
         await one.start()
         reader, writer = await asyncio.open_connection(rigs.LOOPBACK, port)
-        asking = asyncio.ensure_future(ask(port, engine_module.COUNTS))
+        asking = asyncio.ensure_future(ask(port, engine_module.COUNTS_TARGET))
         await rigs.until(lambda: rank.asked)
         await one.finish()
         status, _ = await asking
@@ -150,7 +150,7 @@
         assert await asyncio.wait_for(reader.read(), rigs.WAIT_S) == b''
         writer.close()
         with pytest.raises(ports.EngineSilent):
-            await ask(port, engine_module.COUNTS)
+            await ask(port, engine_module.COUNTS_TARGET)
         await rank.stop()
 
     asyncio.run(run())
@@ -175,19 +175,19 @@
         path.write_text(json.dumps(file))
         process = await asyncio.create_subprocess_exec(
             *PROGRAM,
-            env={**os.environ, settings.VARIABLE: str(path)},
+            env={**os.environ, settings.PATH_VARIABLE: str(path)},
             stdout=subprocess.PIPE,
         )
         try:
             async with asyncio.timeout(rigs.WAIT_S):
                 while True:
                     try:
-                        await ask(first, engine_module.COUNTS)
+                        await ask(first, engine_module.COUNTS_TARGET)
                         break
                     except ports.EngineSilent:
                         await asyncio.sleep(0.02)
             process.send_signal(signal.SIGHUP)
-            await ask(first, engine_module.COUNTS)
+            await ask(first, engine_module.COUNTS_TARGET)
             process.send_signal(signal.SIGTERM)
             output, _ = await asyncio.wait_for(
                 process.communicate(), rigs.WAIT_S
@@ -223,7 +223,7 @@
         path.write_text(json.dumps({**file, field: value}))
         ended = subprocess.run(
             PROGRAM,
-            env={**os.environ, settings.VARIABLE: str(path)},
+            env={**os.environ, settings.PATH_VARIABLE: str(path)},
             capture_output=True,
             text=True,
             timeout=30,
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -16,9 +16,9 @@
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.processes import gateway
 from aspenfold.platform import config
-from aspenfold.platform import connect
+from aspenfold.platform import endpoint_records
+from aspenfold.platform import factory
 from aspenfold.platform import headers
-from aspenfold.platform import members
 
 HOST = 'shop.example'
 KEY = 'key-of-one'
@@ -111,8 +111,8 @@
     )
     return gateway.GatewayProcess(
         cfg=cfg,
-        platform=connect.platform(cfg.store),
-        dialect=headers.DIALECT,
+        platform=factory.create_platform(cfg.store),
+        dialect=headers.HEADER_NAMES,
         clock=clock.SteadyClock(),
     )
 
@@ -137,7 +137,9 @@
         worker.script = script
         await worker.start()
         self.workers.append(worker)
-        await self.store.put(members.TOPIC, name, worker.entry(service))
+        await self.store.put(
+            endpoint_records.TOPIC, name, worker.entry(service)
+        )
         return worker
 
     async def configure(self, value: dict[str, object]) -> None:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -215,7 +215,7 @@
             store.begin_stale()
         store.trouble = trouble
         lapsed = self._endpoint('plain')
-        topic = system_module.members.TOPIC
+        topic = system_module.endpoint_records.TOPIC
         down = trouble is not metadata_store.Trouble.STALE
         if down and self._rng.random() < 0.5:
             store.lapse(topic, lapsed.worker.name)
@@ -231,7 +231,7 @@
         self._tell('store trimmed')
         span = self._ledger.begin('store')
         for topic in (
-            system_module.members.TOPIC,
+            system_module.endpoint_records.TOPIC,
             system_module.config.TOPIC,
         ):
             self._system.store.drop_history(topic)
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -15,7 +15,7 @@
 from aspenfold_standins import platform_worker
 
 from aspenfold.platform import config
-from aspenfold.platform import members
+from aspenfold.platform import endpoint_records
 from aspenfold.platform import settings
 from tests.lib import free_ports
 from tests.lib import gateway_rig
@@ -87,7 +87,7 @@
         log = self.folder / f'{self.name}-{number}.log'
         variables = {
             **os.environ,
-            settings.VARIABLE: str(self.folder / f'{self.name}.json'),
+            settings.PATH_VARIABLE: str(self.folder / f'{self.name}.json'),
         }
         with log.open('wb') as output:
             process = await asyncio.create_subprocess_exec(
@@ -349,7 +349,7 @@
     async def tell(self, endpoint: Endpoint) -> None:
         """Write an endpoint's entry."""
         name = endpoint.worker.name
-        await self.store.put(members.TOPIC, name, endpoint.entry())
+        await self.store.put(endpoint_records.TOPIC, name, endpoint.entry())
 
     async def remove(self, endpoint: Endpoint) -> None:
         """End an endpoint and remove its entry."""
@@ -357,7 +357,7 @@
         self.gone.append(endpoint)
         await endpoint.worker.stop()
         endpoint.link.begin(links.Trouble.RESET)
-        await self.store.remove(members.TOPIC, endpoint.worker.name)
+        await self.store.remove(endpoint_records.TOPIC, endpoint.worker.name)
 
     # -- the plan --------------------------------------------------------
 
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -27,7 +27,7 @@
 from aspenfold._internal.retries import shared
 from aspenfold._internal.routing import zone_first
 from aspenfold.platform import config
-from aspenfold.platform import members
+from aspenfold.platform import endpoint_records
 from aspenfold.platform import settings as platform_settings
 
 SECOND = datetime.timedelta(seconds=1)
@@ -145,7 +145,7 @@
 def test_a_bad_listing_is_an_error(text: bytes) -> None:
     """It never becomes an endpoint."""
     with pytest.raises(ValueError):
-        members.decode('w', text)
+        endpoint_records.decode('w', text)
 
 
 def test_settings_name_the_field_that_is_wrong(
@@ -156,11 +156,11 @@
     base = {'node': 'n', 'ip': '1.2.3.4', 'zone': 'z'}
     path.write_text(json.dumps(base))
     with pytest.raises(Exception, match='platform'):
-        platform_settings.load(str(path))
+        platform_settings.load_gateway(str(path))
     base['platform'] = {'address': 'nowhere'}  # type: ignore[assignment]
     path.write_text(json.dumps(base))
     with pytest.raises(Exception, match=r'platform\.address'):
-        platform_settings.load(str(path))
+        platform_settings.load_gateway(str(path))
 
 
 def test_only_command_lines_import_the_platform() -> None:
