--- a/bench/entry_edge.py
+++ b/bench/entry_edge.py
@@ -6,8 +6,8 @@
 import tempfile
 import time
 
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import patch
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.models import records
@@ -186,7 +186,7 @@
     state = state_module.FleetState()
     for page in log.read_all(records.FLEET_STREAM):
         for record in page.records:
-            fold.fold(state, record.offset, record.body)
+            reducer.fold(state, record.offset, record.body)
     changed = {**state.document, 'name': 'changed'}
     change = records.ConfigChange(
         id='bench',
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -12,8 +12,8 @@
 
 from aspenfold._internal.calls import call as call_module
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import patch
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.models import fleet
@@ -245,9 +245,9 @@
         )
         body = record.model_dump(mode='json')
         began = time.process_time()
-        verdict = fold.fold(state, 2, body)
+        verdict = reducer.fold(state, 2, body)
         folded = time.process_time() - began
-        assert verdict is fold.Verdict.ACCEPTED
+        assert verdict is reducer.Verdict.ACCEPTED
         variant = f'{count} organisations'
         rows += [
             report.Row(
--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -11,7 +11,7 @@
 
 from aspenfold._internal.attempts import actions
 from aspenfold._internal.attempts import attempt as attempt_module
-from aspenfold._internal.attempts import room as room_module
+from aspenfold._internal.attempts import reserved_slots as slots_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.models import fleet
@@ -60,7 +60,7 @@
         self._joiners: list[_Joiner] = []
         self._legs: dict[int, str] = {}
         self._running = 0
-        self._room = room_module.UrgentRoom(capacity=capacity)
+        self._room = slots_module.UrgentRoom(capacity=capacity)
         self._now: datetime.datetime | None = None
 
     @property
--- a/src/aspenfold/_internal/calls/hub.py
+++ b/src/aspenfold/_internal/calls/context.py
@@ -4,7 +4,7 @@
 import typing
 
 from aspenfold._internal.calls import call as call_module
-from aspenfold._internal.claims import fold as claim_fold
+from aspenfold._internal.claims import table as claim_table
 from aspenfold._internal.membership import endpoint as endpoint_module
 
 
@@ -17,7 +17,7 @@
     def log_up(self) -> bool:
         """Whether the log service answered lately."""
 
-    def claims(self, scoped_key: str) -> claim_fold.ClaimFold:
+    def claims(self, scoped_key: str) -> claim_table.ClaimFold:
         """Return the fold of the stream that decides the key."""
 
     def claim_stream(self, scoped_key: str) -> str:
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -11,9 +11,9 @@
 from aspenfold._internal.calls import actions
 from aspenfold._internal.calls import attempt as attempt_module
 from aspenfold._internal.calls import call as call_module
-from aspenfold._internal.calls import fate
-from aspenfold._internal.calls import hub as hub_module
-from aspenfold._internal.claims import fold as claim_fold
+from aspenfold._internal.calls import context as context_module
+from aspenfold._internal.calls import refusals
+from aspenfold._internal.claims import table as claim_table
 from aspenfold._internal.claims import ticket as ticket_module
 from aspenfold._internal.delivery import assembler
 from aspenfold._internal import exceptions
@@ -50,13 +50,15 @@
 class CallFlow:
     """The state machine of one call."""
 
-    def __init__(self, *, call: call_module.Call, hub: hub_module.Hub) -> None:
+    def __init__(
+        self, *, call: call_module.Call, context: context_module.Hub
+    ) -> None:
         self.call = call
         self.state = State.NEW
         self.wake_at = call.deadline
         self.scheduled_at: datetime.datetime | None = None
         self.endpoint = ''
-        self._hub = hub
+        self._context = context
         self._assembler = assembler.Assembler()
         self._attempt: attempt_module.Attempt | None = None
         self._attempts_made = 0
@@ -74,7 +76,7 @@
         # owner may claim the key again, and run.
         self._holds_unrun = False
         if call.key:
-            self._scoped = claim_fold.scoped_key(call.organisation, call.key)
+            self._scoped = claim_table.scoped_key(call.organisation, call.key)
 
     @property
     def scoped_key(self) -> str:
@@ -185,13 +187,13 @@
 
     # -- keys ------------------------------------------------------------
 
-    def _claims(self) -> claim_fold.ClaimFold:
-        return self._hub.claims(self._scoped)
+    def _claims(self) -> claim_table.ClaimFold:
+        return self._context.claims(self._scoped)
 
     def _claim(
         self, now: datetime.datetime, *, supersedes: str
     ) -> list[actions.Action]:
-        if not self._hub.log_up:
+        if not self._context.log_up:
             return self._fail(
                 _failure(
                     Code.LOG_UNAVAILABLE,
@@ -221,11 +223,11 @@
             deadline_ms=clock.to_unix_ms(attempt.deadline),
             supersedes=supersedes,
         )
-        stream = self._hub.claim_stream(self._scoped)
+        stream = self._context.claim_stream(self._scoped)
         return [actions.AppendClaim(stream=stream, claim=claim)]
 
     def _follow(
-        self, holder: claim_fold.Holder, now: datetime.datetime
+        self, holder: claim_table.Holder, now: datetime.datetime
     ) -> list[actions.Action]:
         """Join the attempt that holds the key, or learn its fate."""
         claim = holder.claim
@@ -252,7 +254,7 @@
 
     def _use_ticket(self, now: datetime.datetime) -> list[actions.Action]:
         ticket = ticket_module.parse(
-            self.call.key, self.call.organisation, self._hub.system_key
+            self.call.key, self.call.organisation, self._context.system_key
         )
         if ticket is None:
             return self._fail(
@@ -291,13 +293,13 @@
 
     def _choose(self, now: datetime.datetime) -> attempt_module.Attempt | None:
         avoid = self._attempt.endpoint if self._attempt else ''
-        chosen = self._hub.choose(self.call, avoid, now)
+        chosen = self._context.choose(self.call, avoid, now)
         if chosen is None:
             return None
         self._attempts_made += 1
         resume = self._assembler.next_item if self.call.repeatable else 0
         return attempt_module.Attempt(
-            attempt_id=self._hub.new_id(),
+            attempt_id=self._context.new_id(),
             endpoint=chosen.name,
             incarnation=chosen.incarnation,
             deadline=self.call.deadline,
@@ -315,7 +317,7 @@
         """Open a leg to the current attempt's agent."""
         attempt = self._attempt
         assert attempt is not None
-        known = self._hub.endpoint(attempt.endpoint)
+        known = self._context.endpoint(attempt.endpoint)
         # An agent that this entry has not heard yet judges for itself.
         if known is None or known.incarnation not in (
             '',
@@ -335,7 +337,7 @@
         self._holds_unrun = False
         self.endpoint = attempt.endpoint
         self._assembler.begin(attempt.attempt_id)
-        self._leg = self._hub.new_leg(self.call.call_id)
+        self._leg = self._context.new_leg(self.call.call_id)
         request = frames.AttemptRequest(
             attempt_id=attempt.attempt_id,
             incarnation=attempt.incarnation,
@@ -388,7 +390,7 @@
             self._maybe_ran = True
         if not self._may_repeat():
             return self._fail(cause)
-        wait = self._hub.retry_wait(self.call, self._attempts_made + 1)
+        wait = self._context.retry_wait(self.call, self._attempts_made + 1)
         if wait is None or now + wait >= self.call.deadline:
             return self._fail(cause)
         self.state = State.WAITING
@@ -448,7 +450,7 @@
                     _failure(Code.ANSWER_BROKEN, 'the answer fails its digest')
                 )
             case assembler.Verdict.WHOLE:
-                self._hub.succeeded(self.call, self.endpoint, now)
+                self._context.succeeded(self.call, self.endpoint, now)
                 self.state = State.ENDED
                 result = self._close_leg()
                 result.append(
@@ -504,13 +506,13 @@
         return result
 
     def _truthful(self, failure: exceptions.Failure) -> exceptions.Failure:
-        known = fate.Knowledge(
+        known = refusals.Knowledge(
             keyed=bool(self.call.key),
             holds_unrun=self._holds_unrun,
             maybe_ran=self._maybe_ran,
             started=self._head_sent,
         )
-        return fate.truthful(failure, known)
+        return refusals.truthful(failure, known)
 
     # -- parts -----------------------------------------------------------
 
@@ -523,7 +525,7 @@
     def _cancel(self) -> list[actions.Action]:
         attempt = self._attempt
         assert attempt is not None
-        known = self._hub.endpoint(attempt.endpoint)
+        known = self._context.endpoint(attempt.endpoint)
         if known is None or not self.call.repeatable or not attempt.own:
             return []
         return [
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -10,9 +10,9 @@
 from aspenfold._internal.admission import policy as admission_policy
 from aspenfold._internal.calls import actions
 from aspenfold._internal.calls import call as call_module
-from aspenfold._internal.calls import fate
 from aspenfold._internal.calls import flow as flow_module
-from aspenfold._internal.claims import fold as claim_fold
+from aspenfold._internal.calls import refusals
+from aspenfold._internal.claims import table as claim_table
 from aspenfold._internal.configuration import reader as reader_module
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
@@ -59,7 +59,7 @@
         self._rng = rng
         self._log_up = False
         self._claim_folds = {
-            records.claim_stream(i): claim_fold.ClaimFold(window=KEY_WINDOW)
+            records.claim_stream(i): claim_table.ClaimFold(window=KEY_WINDOW)
             for i in range(claim_streams)
         }
         self._flows: dict[str, flow_module.CallFlow] = {}
@@ -75,20 +75,20 @@
         self._entries = 1
         self.answered: collections.Counter[str] = collections.Counter()
 
-    # -- what flows need, see calls.hub ----------------------------------
+    # -- what flows need, see calls.context ----------------------------------
 
     @property
     def log_up(self) -> bool:
         """Whether the log service answered lately."""
         return self._log_up
 
-    def claims(self, scoped_key: str) -> claim_fold.ClaimFold:
+    def claims(self, scoped_key: str) -> claim_table.ClaimFold:
         """Return the fold of the stream that decides the key."""
         return self._claim_folds[self.claim_stream(scoped_key)]
 
     def claim_stream(self, scoped_key: str) -> str:
         """Return the name of the stream that decides the key."""
-        return claim_fold.stream_of(scoped_key, len(self._claim_folds))
+        return claim_table.stream_of(scoped_key, len(self._claim_folds))
 
     def choose(
         self, call: call_module.Call, avoid: str, now: datetime.datetime
@@ -167,10 +167,10 @@
         failure = self._admit(call, now)
         if failure is not None:
             if call.key:
-                failure = fate.undecided(failure)
+                failure = refusals.undecided(failure)
             self.answered[str(int(failure.code))] += 1
             return [actions.Fail(call_id=call.call_id, failure=failure)]
-        flow = flow_module.CallFlow(call=call, hub=self)
+        flow = flow_module.CallFlow(call=call, context=self)
         self._flows[call.call_id] = flow
         if flow.scoped_key:
             self._by_key[flow.scoped_key].add(call.call_id)
--- a/src/aspenfold/_internal/commands/apply.py
+++ b/src/aspenfold/_internal/commands/apply.py
@@ -9,8 +9,8 @@
 from aspenfold._internal.commands import exits
 from aspenfold._internal.commands import output
 from aspenfold._internal.commands import platform as platform_module
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import patch
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal import exceptions
 from aspenfold._internal.models import base
 from aspenfold._internal.models import fleet as fleet_model
@@ -74,9 +74,9 @@
             reason=reason,
         )
         judged = self._platform.append(record)
-        if judged.verdict is fold.Verdict.ACCEPTED:
+        if judged.verdict is reducer.Verdict.ACCEPTED:
             return judged.record.offset
-        if judged.verdict is fold.Verdict.CONFLICT:
+        if judged.verdict is reducer.Verdict.CONFLICT:
             self._conflict(base_version)
         raise exceptions.ConfigError(
             exceptions.Failure(
--- a/src/aspenfold/_internal/commands/platform.py
+++ b/src/aspenfold/_internal/commands/platform.py
@@ -7,8 +7,8 @@
 import time
 import typing
 
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader as reader_module
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
@@ -200,6 +200,6 @@
         accepted = [
             judged
             for judged in found
-            if judged.verdict is fold.Verdict.ACCEPTED
+            if judged.verdict is reducer.Verdict.ACCEPTED
         ]
         return next(iter(accepted + found), None)
--- a/src/aspenfold/_internal/configuration/reader.py
+++ b/src/aspenfold/_internal/configuration/reader.py
@@ -6,7 +6,7 @@
 
 import pydantic
 
-from aspenfold._internal.configuration import fold
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.models import records
 
@@ -37,7 +37,7 @@
     """A record and the verdict of this reader."""
 
     record: LogRecord
-    verdict: fold.Verdict
+    verdict: reducer.Verdict
 
 
 class FleetReader:
@@ -90,7 +90,7 @@
 
     def _take(self, record: LogRecord) -> abc.Iterator[Judged]:
         if self._pending is None:
-            verdict = fold.fold(self.state, record.offset, record.body)
+            verdict = reducer.fold(self.state, record.offset, record.body)
             yield Judged(record=record, verdict=verdict)
             return
         self._pending.append(record)
@@ -107,7 +107,7 @@
         for kept in pending:
             if kept.offset < self.state.next_offset:
                 continue
-            verdict = fold.fold(self.state, kept.offset, kept.body)
+            verdict = reducer.fold(self.state, kept.offset, kept.body)
             yield Judged(record=kept, verdict=verdict)
 
     def _gap_start(self) -> int:
--- a/src/aspenfold/_internal/leases/duties.py
+++ b/src/aspenfold/_internal/leases/duties.py
@@ -8,7 +8,7 @@
 import datetime
 import random
 
-from aspenfold._internal.configuration import fold
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.expertmaps import descent
 from aspenfold._internal.expertmaps import planner
@@ -99,7 +99,7 @@
         reason = self._reason_to_plan(group, current, load, now)
         if not reason:
             return None
-        lease = fold.MAP_LEASE + group.name
+        lease = reducer.MAP_LEASE + group.name
         token = self._keeper.held(state, lease)
         if not token:
             return self._ask(state, lease, now)
@@ -146,10 +146,10 @@
         fresh = state.next_offset - self._snapshot_offset < SNAPSHOT_EVERY
         if fresh and now < self._snapshot_at + self._interval:
             return None
-        token = self._keeper.held(state, fold.SNAPSHOT_LEASE)
+        token = self._keeper.held(state, reducer.SNAPSHOT_LEASE)
         if not token:
-            return self._ask(state, fold.SNAPSHOT_LEASE, now)
-        if not self._due(fold.SNAPSHOT_LEASE, now):
+            return self._ask(state, reducer.SNAPSHOT_LEASE, now)
+        if not self._due(reducer.SNAPSHOT_LEASE, now):
             return None
         return records.Snapshot(
             id=self._new_id(),
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -15,8 +15,8 @@
 
 from aspenfold._internal.calls import actions
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
@@ -124,7 +124,7 @@
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
                 self._duties.snapshot_seen(offset, self._entry.clock.now())
-            if judged.verdict is not fold.Verdict.ACCEPTED:
+            if judged.verdict is not reducer.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
                     offset=offset,
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -2,7 +2,7 @@
 
 from collections import abc
 
-from aspenfold._internal.configuration import fold
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.models import records
 from aspenfold_standins import sim as sim_module
 from tests.lib import fleets
@@ -199,7 +199,7 @@
     def lapse_lease(self) -> None:
         """A lease passes on; its paused holder wakes and writes a plan."""
         reading = next(iter(self.world.entries.values())).kernel.fleet_reader
-        name = fold.MAP_LEASE + 'group-0'
+        name = reducer.MAP_LEASE + 'group-0'
         prior = reading.state.lease_token(name)
         for holder in ('entry-0', 'entry-1'):
             self._jobs += 1
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -15,7 +15,7 @@
 from aspenfold._internal.calls import attempt as attempt_module
 from aspenfold._internal.calls import flow as flow_module
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.claims import fold as claim_fold
+from aspenfold._internal.claims import table as claim_table
 from aspenfold._internal.delivery import assembler
 from aspenfold._internal import exceptions
 from aspenfold._internal.expertmaps import leader as leader_module
@@ -51,11 +51,11 @@
     def fold(
         self: typing.Any, claim: typing.Any, offset: int, at: typing.Any
     ) -> None:
-        self._holders[claim.key] = claim_fold.Holder(
+        self._holders[claim.key] = claim_table.Holder(
             claim=claim, offset=offset, at=at
         )
 
-    patch.setattr(claim_fold.ClaimFold, '_fold', fold)
+    patch.setattr(claim_table.ClaimFold, '_fold', fold)
 
 
 def no_claim(patch: Patch) -> None:
@@ -64,7 +64,7 @@
     def claim(
         self: typing.Any, now: typing.Any, *, supersedes: str
     ) -> typing.Any:
-        routable = self._hub.view.routable(self.call.service, now)
+        routable = self._context.view.routable(self.call.service, now)
         if not routable:
             return self._fail(self._no_endpoint())
         home = max(routable, key=lambda e: hash_of(self._scoped, e.name))
@@ -83,7 +83,7 @@
 
 def hash_of(key: str, name: str) -> int:
     """Return a rendezvous score."""
-    return int(claim_fold.scoped_key(key, name), 16)
+    return int(claim_table.scoped_key(key, name), 16)
 
 
 def repeat_anything(patch: Patch) -> None:
@@ -133,7 +133,7 @@
 def no_settled_position(patch: Patch) -> None:
     """A late request may take a key over from a later one."""
     patch.setattr(
-        claim_fold.ClaimFold,
+        claim_table.ClaimFold,
         'settled_position',
         lambda self, now: self.position,
     )
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -13,8 +13,8 @@
 from aspenfold._internal.commands import audit
 from aspenfold._internal.commands import exits
 from aspenfold._internal.commands import member
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal import exceptions
 
 NO_WAIT = datetime.timedelta(0)
@@ -148,7 +148,7 @@
         return [
             judged
             for judged in right(self, page)
-            if judged.verdict is fold.Verdict.ACCEPTED
+            if judged.verdict is reducer.Verdict.ACCEPTED
         ]
 
     run_apply(log, write(tmp_path, 'first'))
--- a/tests/unit/test_claim_machine.py
+++ b/tests/unit/test_claim_machine.py
@@ -8,7 +8,7 @@
 import pytest
 from tests.lib import fake_log
 
-from aspenfold._internal.claims import fold
+from aspenfold._internal.claims import table
 from aspenfold._internal.models import records
 
 WINDOW = datetime.timedelta(seconds=60)
@@ -23,7 +23,7 @@
         super().__init__()
         self.log = fake_log.FakeLog()
         self.now = sim_module.START
-        self.folds = [fold.ClaimFold(window=WINDOW) for _ in range(3)]
+        self.folds = [table.ClaimFold(window=WINDOW) for _ in range(3)]
         self.number = 0
         self.claimed_at: dict[str, datetime.datetime] = {}
         self.holders: dict[tuple[int, str], str] = {}
@@ -72,7 +72,7 @@
     @stateful.rule(who=FOLDS)
     def restart(self, who: int) -> None:
         """A fresh entry starts to read."""
-        self.folds[who] = fold.ClaimFold(window=WINDOW)
+        self.folds[who] = table.ClaimFold(window=WINDOW)
 
     @stateful.rule(keep=st.integers(0, 6))
     def trim(self, keep: int) -> None:
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -11,9 +11,9 @@
 from tests.lib import fleets
 from tests.lib import operators
 
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import patch
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.models import fleet
 from aspenfold._internal.models import records
@@ -41,7 +41,7 @@
         page = self.log.read(STREAM, self.reference.position)
         for judged in self.reference.feed(page):
             body = judged.record.body
-            accepted = judged.verdict is fold.Verdict.ACCEPTED
+            accepted = judged.verdict is reducer.Verdict.ACCEPTED
             if body['type'] == 'config' and accepted:
                 base = body['base_version']
                 self.winners[base] = self.winners.get(base, 0) + 1
@@ -61,13 +61,13 @@
     def lease(self, holder: int) -> None:
         """An entry asks for the snapshot lease."""
         self.number += 1
-        token = self.readers[holder].state.lease_token(fold.SNAPSHOT_LEASE)
+        token = self.readers[holder].state.lease_token(reducer.SNAPSHOT_LEASE)
         self._append(
             records.LeaseGrant(
                 id=f'lease-{self.number}',
                 author=f'entry-{holder}',
                 at=sim_module.START,
-                name=fold.SNAPSHOT_LEASE,
+                name=reducer.SNAPSHOT_LEASE,
                 holder=f'entry-{holder}',
                 ttl_ms=1000,
                 prior_token=token,
@@ -163,12 +163,12 @@
 
 def _last_writer_wins(
     state: state_module.FleetState, offset: int, record: typing.Any
-) -> fold.Verdict:
+) -> reducer.Verdict:
     document = patch.apply(state.document, record.patch)
     if document is None:
-        return fold.Verdict.INVALID
+        return reducer.Verdict.INVALID
     state.set_document(offset, document, fleet.Fleet.model_validate(document))
-    return fold.Verdict.ACCEPTED
+    return reducer.Verdict.ACCEPTED
 
 
 def _adopt_anything(self: typing.Any, state: typing.Any) -> bool:
@@ -177,14 +177,14 @@
 
 
 def _fold_at_once(self: typing.Any, record: typing.Any) -> typing.Any:
-    verdict = fold.fold(self.state, record.offset, record.body)
+    verdict = reducer.fold(self.state, record.offset, record.body)
     yield reader.Judged(record=record, verdict=verdict)
 
 
 @pytest.mark.parametrize(
     ('where', 'name', 'mutant'),
     [
-        (fold, '_fold_config', _last_writer_wins),
+        (reducer, '_fold_config', _last_writer_wins),
         (reader.FleetReader, 'adopt', _adopt_anything),
         (reader.FleetReader, '_take', _fold_at_once),
     ],
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -6,7 +6,7 @@
 import pytest
 from tests.lib import fleets
 
-from aspenfold._internal.configuration import fold
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.expertmaps import planner
 from aspenfold._internal.leases import duties
@@ -14,7 +14,7 @@
 from aspenfold._internal.models import fleet
 from aspenfold._internal.models import records
 
-LEASE = fold.MAP_LEASE + 'group-0'
+LEASE = reducer.MAP_LEASE + 'group-0'
 GROUP = {
     'name': 'group-0',
     'service': 'llm',
@@ -51,10 +51,10 @@
 
 def feed(
     state: state_module.FleetState, *given: records.Record
-) -> list[fold.Verdict]:
+) -> list[reducer.Verdict]:
     """Fold records in order and return the verdicts."""
     return [
-        fold.fold(state, state.next_offset, record.model_dump(mode='json'))
+        reducer.fold(state, state.next_offset, record.model_dump(mode='json'))
         for record in given
     ]
 
@@ -97,7 +97,7 @@
     feed(state, grant('entry-a', 0), plan('a', 1))
     version = state.maps['group-0'].version
     (verdict,) = feed(state, plan('a', 1))
-    assert verdict is fold.Verdict.NO_CHANGE
+    assert verdict is reducer.Verdict.NO_CHANGE
     assert state.maps['group-0'].version == version
 
 
--- a/tests/unit/test_poison.py
+++ b/tests/unit/test_poison.py
@@ -8,9 +8,9 @@
 import pytest
 from tests.lib import fleets
 
-from aspenfold._internal.claims import fold as claim_fold
-from aspenfold._internal.configuration import fold
+from aspenfold._internal.claims import table as claim_table
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.models import fleet
 
@@ -94,7 +94,7 @@
     document = fleets.document()
     state = state_module.FleetState()
     state.set_document(1, document, fleet.Fleet.model_validate(document))
-    fold.fold(state, 2, body)
+    reducer.fold(state, 2, body)
     assert state.next_offset == 3
     assert state.fleet is not None
 
@@ -112,7 +112,7 @@
 @hypothesis.given(body=BODY)
 def test_claim_stream(body: typing.Any) -> None:
     """The fold passes over it."""
-    known = claim_fold.ClaimFold(window=claim_fold.SETTLED_AFTER)
+    known = claim_table.ClaimFold(window=claim_table.SETTLED_AFTER)
     record = reader.LogRecord(offset=1, body=body)
     once = reader.Page(records=[record], first=1, next=2)
     known.feed(once, sim_module.START)
