--- a/bench/entry_edge.py
+++ b/bench/entry_edge.py
@@ -186,7 +186,7 @@
     state = state_module.FleetState()
     for page in log.read_all(records.FLEET_STREAM):
         for record in page.records:
-            reducer.fold(state, record.offset, record.body)
+            reducer.apply_record(state, record.offset, record.body)
     changed = {**state.document, 'name': 'changed'}
     change = records.ConfigChange(
         id='bench',
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -245,7 +245,7 @@
         )
         body = record.model_dump(mode='json')
         began = time.process_time()
-        verdict = reducer.fold(state, 2, body)
+        verdict = reducer.apply_record(state, 2, body)
         folded = time.process_time() - began
         assert verdict is reducer.Verdict.ACCEPTED
         variant = f'{count} organisations'
--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -16,10 +16,10 @@
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.models import fleet
 
-KEEP = datetime.timedelta(hours=1)
+ATTEMPT_RETENTION = datetime.timedelta(hours=1)
 """How long past its deadline an attempt is remembered."""
 
-QUEUE_FACTOR = 4
+MAX_ACCEPTED_RATIO = 4
 """Attempts accepted, as a multiple of what the endpoint runs at once."""
 
 URGENT = fleet.Priority.INTERACTIVE.value
@@ -60,7 +60,7 @@
         self._joiners: list[_Joiner] = []
         self._legs: dict[int, str] = {}
         self._running = 0
-        self._room = slots_module.UrgentRoom(capacity=capacity)
+        self._room = slots_module.InteractiveReservation(capacity=capacity)
         self._now: datetime.datetime | None = None
 
     @property
@@ -105,7 +105,7 @@
         known = self._attempts.get(request.attempt_id)
         if known is not None:
             return self._attach(leg, request, known)
-        if request.deadline + KEEP < now:
+        if request.deadline + ATTEMPT_RETENTION < now:
             # It may have been forgotten, so its fate cannot be told.
             return self._refuse(
                 leg, request, Code.FATE_UNKNOWN, 'the attempt is too old'
@@ -211,7 +211,9 @@
         self._forget(now)
         return result
 
-    def cut_all(self, failure: exceptions.Failure) -> list[actions.Action]:
+    def abort_running(
+        self, failure: exceptions.Failure
+    ) -> list[actions.Action]:
         """The drain limit passed: end every running attempt in a code."""
         result: list[actions.Action] = []
         for known in list(self._attempts.values()):
@@ -252,11 +254,11 @@
             return Code.DRAINING
         if request.deadline <= now:
             return Code.DEADLINE_PASSED
-        if self._running >= self._capacity * QUEUE_FACTOR:
+        if self._running >= self._capacity * MAX_ACCEPTED_RATIO:
             return Code.OVERLOADED
         if request.priority == URGENT:
             return None
-        bound = self._room.others_bound(now)
+        bound = self._room.max_other_calls(now)
         others = self._running - self._room.running
         if bound is not None and others >= bound:
             return Code.OVERLOADED
@@ -426,7 +428,10 @@
         # only delays forgetting.
         while self._by_deadline:
             known = self._attempts[self._by_deadline[0]]
-            if known.state is State.RUNNING or known.deadline + KEEP >= now:
+            if (
+                known.state is State.RUNNING
+                or known.deadline + ATTEMPT_RETENTION >= now
+            ):
                 return
             self._by_deadline.popleft()
             self._answer_bytes -= known.size
--- a/src/aspenfold/_internal/attempts/reserved_slots.py
+++ b/src/aspenfold/_internal/attempts/reserved_slots.py
@@ -16,7 +16,7 @@
 """At most this share of the endpoint is kept free."""
 
 
-class UrgentRoom:
+class InteractiveReservation:
     """Follows how many interactive calls run at once.
 
     Entries see an endpoint's load late, and each only its own calls; the
@@ -39,7 +39,7 @@
         """An interactive call ended."""
         self.running -= 1
 
-    def others_bound(self, now: datetime.datetime) -> int | None:
+    def max_other_calls(self, now: datetime.datetime) -> int | None:
         """Return how many other calls may run, None for no bound."""
         if self._last is None or now > self._last + IDLE:
             return None
--- a/src/aspenfold/_internal/calls/context.py
+++ b/src/aspenfold/_internal/calls/context.py
@@ -8,7 +8,7 @@
 from aspenfold._internal.membership import endpoint as endpoint_module
 
 
-class Hub(typing.Protocol):
+class CallContext(typing.Protocol):
     """The entry kernel as its flows see it."""
 
     system_key: str
@@ -17,7 +17,7 @@
     def log_up(self) -> bool:
         """Whether the log service answered lately."""
 
-    def claims(self, scoped_key: str) -> claim_table.ClaimFold:
+    def claims(self, scoped_key: str) -> claim_table.ClaimTable:
         """Return the fold of the stream that decides the key."""
 
     def claim_stream(self, scoped_key: str) -> str:
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -51,7 +51,7 @@
     """The state machine of one call."""
 
     def __init__(
-        self, *, call: call_module.Call, context: context_module.Hub
+        self, *, call: call_module.Call, context: context_module.CallContext
     ) -> None:
         self.call = call
         self.state = State.NEW
@@ -102,7 +102,7 @@
         """The key's claim stream was read further."""
         if self.state is not State.CLAIMING:
             return []
-        if not self._claims().judgeable(now):
+        if not self._claims().has_all_claims(now):
             return self._fail(self._not_judgeable())
         holder = self._claims().holder(self._scoped)
         assert self._attempt is not None
@@ -187,7 +187,7 @@
 
     # -- keys ------------------------------------------------------------
 
-    def _claims(self) -> claim_table.ClaimFold:
+    def _claims(self) -> claim_table.ClaimTable:
         return self._context.claims(self._scoped)
 
     def _claim(
@@ -202,7 +202,7 @@
                     retry_after=CLAIM_TIMEOUT,
                 )
             )
-        if not self._claims().judgeable(now):
+        if not self._claims().has_all_claims(now):
             return self._fail(self._not_judgeable())
         holder = self._claims().holder(self._scoped)
         if holder is not None and holder.claim.attempt_id != supersedes:
@@ -506,13 +506,13 @@
         return result
 
     def _truthful(self, failure: exceptions.Failure) -> exceptions.Failure:
-        known = refusals.Knowledge(
+        known = refusals.Evidence(
             keyed=bool(self.call.key),
             holds_unrun=self._holds_unrun,
             maybe_ran=self._maybe_ran,
             started=self._head_sent,
         )
-        return refusals.truthful(failure, known)
+        return refusals.adjust_code(failure, known)
 
     # -- parts -----------------------------------------------------------
 
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -58,8 +58,8 @@
         self.limiter = limiter.Limiter()
         self._rng = rng
         self._log_up = False
-        self._claim_folds = {
-            records.claim_stream(i): claim_table.ClaimFold(window=KEY_WINDOW)
+        self._claim_tables = {
+            records.claim_stream(i): claim_table.ClaimTable(window=KEY_WINDOW)
             for i in range(claim_streams)
         }
         self._flows: dict[str, flow_module.CallFlow] = {}
@@ -82,13 +82,13 @@
         """Whether the log service answered lately."""
         return self._log_up
 
-    def claims(self, scoped_key: str) -> claim_table.ClaimFold:
+    def claims(self, scoped_key: str) -> claim_table.ClaimTable:
         """Return the fold of the stream that decides the key."""
-        return self._claim_folds[self.claim_stream(scoped_key)]
+        return self._claim_tables[self.claim_stream(scoped_key)]
 
     def claim_stream(self, scoped_key: str) -> str:
         """Return the name of the stream that decides the key."""
-        return claim_table.stream_of(scoped_key, len(self._claim_folds))
+        return claim_table.stream_for_key(scoped_key, len(self._claim_tables))
 
     def choose(
         self, call: call_module.Call, avoid: str, now: datetime.datetime
@@ -167,7 +167,7 @@
         failure = self._admit(call, now)
         if failure is not None:
             if call.key:
-                failure = refusals.undecided(failure)
+                failure = refusals.mark_key_undecided(failure)
             self.answered[str(int(failure.code))] += 1
             return [actions.Fail(call_id=call.call_id, failure=failure)]
         flow = flow_module.CallFlow(call=call, context=self)
@@ -212,10 +212,10 @@
 
     def fleet_page(
         self, page: reader_module.Page
-    ) -> list[reader_module.Judged]:
+    ) -> list[reader_module.AppliedRecord]:
         """Fold a page of the fleet stream."""
         self._log_up = True
-        judged = self.fleet_reader.feed(page)
+        judged = self.fleet_reader.apply_page(page)
         self.view.folded(self.fleet_reader.state.members)
         return judged
 
@@ -234,7 +234,7 @@
     ) -> list[actions.Action]:
         """Fold a page of a claim stream and wake the flows it decides."""
         self._log_up = True
-        seen = self._claim_folds[stream].feed(page, now)
+        seen = self._claim_tables[stream].apply_page(page, now)
         result: list[actions.Action] = []
         for key in sorted(seen):
             for call_id in sorted(self._by_key.get(key, ())):
@@ -244,7 +244,7 @@
 
     def claims_position(self, stream: str) -> int:
         """Return the offset to read next on a claim stream."""
-        return self._claim_folds[stream].position
+        return self._claim_tables[stream].position
 
     def log_lost(self) -> None:
         """The log service does not answer."""
--- a/src/aspenfold/_internal/calls/refusals.py
+++ b/src/aspenfold/_internal/calls/refusals.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Knowledge:
+class Evidence:
     """What an entry knows of a call that it is about to refuse.
 
     ``keyed``: the call has an idempotency key.  ``holds_unrun``: its own
@@ -27,8 +27,8 @@
     started: bool
 
 
-def truthful(
-    failure: exceptions.Failure, known: Knowledge
+def adjust_code(
+    failure: exceptions.Failure, known: Evidence
 ) -> exceptions.Failure:
     """Return ``failure`` with a code that says only what is known."""
     if failure.outcome is Outcome.RAN:
@@ -40,7 +40,7 @@
     if failure.code in (Code.KEY_REUSED, Code.BAD_TICKET):
         return failure
     if known.keyed and not known.holds_unrun:
-        return undecided(failure)
+        return mark_key_undecided(failure)
     if not known.maybe_ran:
         return failure
     return dataclasses.replace(
@@ -50,7 +50,7 @@
     )
 
 
-def undecided(failure: exceptions.Failure) -> exceptions.Failure:
+def mark_key_undecided(failure: exceptions.Failure) -> exceptions.Failure:
     """Return the refusal of a keyed call whose key was not judged.
 
     An earlier submission of the key may have run, so this entry must
--- a/src/aspenfold/_internal/claims/table.py
+++ b/src/aspenfold/_internal/claims/table.py
@@ -22,7 +22,7 @@
     return xxhash.xxh3_128_hexdigest(f'{organisation}\0{key}'.encode())
 
 
-def stream_of(scoped: str, streams: int) -> str:
+def stream_for_key(scoped: str, streams: int) -> str:
     """Return the claim stream that decides ``scoped``."""
     return records.claim_stream(int(scoped[:8], 16) % streams)
 
@@ -48,7 +48,7 @@
 """How far the clocks of two entries may be apart."""
 
 
-class ClaimFold:
+class ClaimTable:
     """The holders of the keys of one stream, newest window only."""
 
     def __init__(self, *, window: datetime.timedelta) -> None:
@@ -56,7 +56,7 @@
         self._holders: collections.OrderedDict[str, Holder] = (
             collections.OrderedDict()
         )
-        self._judgeable_from: datetime.datetime | None = None
+        self._complete_from: datetime.datetime | None = None
         self._latest: datetime.datetime | None = None
         self._read: collections.deque[tuple[datetime.datetime, int]] = (
             collections.deque()
@@ -67,9 +67,9 @@
     def __len__(self) -> int:
         return len(self._holders)
 
-    def judgeable(self, now: datetime.datetime) -> bool:
+    def has_all_claims(self, now: datetime.datetime) -> bool:
         """Return whether every claim of the window has been seen."""
-        return self._judgeable_from is None or now >= self._judgeable_from
+        return self._complete_from is None or now >= self._complete_from
 
     def holder(self, key: str) -> 'Holder | None':
         """Return the claim that holds ``key`` and where it stands."""
@@ -85,7 +85,9 @@
             _, self._settled = self._read.popleft()
         return self._settled
 
-    def feed(self, page: reader.Page, now: datetime.datetime) -> set[str]:
+    def apply_page(
+        self, page: reader.Page, now: datetime.datetime
+    ) -> set[str]:
         """Fold a page read from :attr:`position`; return the keys seen."""
         self._note_trimmed(page, now)
         seen: set[str] = set()
@@ -98,7 +100,7 @@
                 continue
             self._advance(batch.at)
             for claim in batch.claims:
-                self._fold(claim, record.offset, batch.at)
+                self._apply(claim, record.offset, batch.at)
                 seen.add(claim.key)
         if seen:
             self._read.append((now, self.position))
@@ -119,9 +121,9 @@
                 and oldest.at <= now - self._window - CLOCK_SKEW
             ):
                 return
-        self._judgeable_from = now + self._window + CLOCK_SKEW
+        self._complete_from = now + self._window + CLOCK_SKEW
 
-    def _fold(
+    def _apply(
         self, claim: records.Claim, offset: int, at: datetime.datetime
     ) -> None:
         holder = self._holders.get(claim.key)
--- a/src/aspenfold/_internal/commands/audit.py
+++ b/src/aspenfold/_internal/commands/audit.py
@@ -47,12 +47,14 @@
                 single = reader_module.Page(
                     records=[record], first=page.first, next=page.next
                 )
-                for judged in reading.feed(single):
+                for judged in reading.apply_page(single):
                     rows.append(_row(judged, before))
         return rows
 
 
-def _row(judged: reader_module.Judged, before: str) -> dict[str, typing.Any]:
+def _row(
+    judged: reader_module.AppliedRecord, before: str
+) -> dict[str, typing.Any]:
     body = judged.record.body
     return {
         'offset': judged.record.offset,
--- a/src/aspenfold/_internal/commands/platform.py
+++ b/src/aspenfold/_internal/commands/platform.py
@@ -95,12 +95,12 @@
             'at': self.clock.now(),
         }
 
-    def catch_up(self) -> list[reader_module.Judged]:
+    def catch_up(self) -> list[reader_module.AppliedRecord]:
         """Read the fleet stream to its end; return what was judged."""
         judged = []
         while True:
             page = self._log.read(records.FLEET_STREAM, self.reader.position)
-            judged.extend(self.reader.feed(page))
+            judged.extend(self.reader.apply_page(page))
             if self.reader.position >= page.next:
                 return judged
 
@@ -112,7 +112,7 @@
         """Return the fleet stream from its oldest record, in pages."""
         return self._log.read_all(records.FLEET_STREAM)
 
-    def append(self, record: records.Record) -> reader_module.Judged:
+    def append(self, record: records.Record) -> reader_module.AppliedRecord:
         """Append a record and return how all readers judge it.
 
         The answer of an append can be lost after it took effect, so its
@@ -185,13 +185,15 @@
             pool.close()
         return answer
 
-    def _find_if_up(self, record_id: str) -> reader_module.Judged | None:
+    def _find_if_up(
+        self, record_id: str
+    ) -> reader_module.AppliedRecord | None:
         try:
             return self._find(record_id)
         except exceptions.LogUnavailable:
             return None
 
-    def _find(self, record_id: str) -> reader_module.Judged | None:
+    def _find(self, record_id: str) -> reader_module.AppliedRecord | None:
         found = [
             judged
             for judged in self.catch_up()
--- a/src/aspenfold/_internal/configuration/reader.py
+++ b/src/aspenfold/_internal/configuration/reader.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Judged:
+class AppliedRecord:
     """A record and the verdict of this reader."""
 
     record: LogRecord
@@ -59,21 +59,21 @@
         return self._position
 
     @property
-    def recovering(self) -> bool:
+    def awaiting_snapshot(self) -> bool:
         """Whether records were lost to trimming and none is judged."""
         return self._pending is not None
 
-    def feed(self, page: Page) -> list[Judged]:
+    def apply_page(self, page: Page) -> list[AppliedRecord]:
         """Fold a page that was read from :attr:`position`."""
         if page.first > self._position and self._position < page.next:
             self._position = page.first
             self._pending = []
-        judged: list[Judged] = []
+        judged: list[AppliedRecord] = []
         for record in page.records:
             if record.offset < self._position:
                 continue
             self._position = record.offset + 1
-            judged.extend(self._take(record))
+            judged.extend(self._apply_or_hold(record))
         return judged
 
     def adopt(self, state: state_module.FleetState) -> bool:
@@ -88,16 +88,18 @@
             pass
         return True
 
-    def _take(self, record: LogRecord) -> abc.Iterator[Judged]:
+    def _apply_or_hold(self, record: LogRecord) -> abc.Iterator[AppliedRecord]:
         if self._pending is None:
-            verdict = reducer.fold(self.state, record.offset, record.body)
-            yield Judged(record=record, verdict=verdict)
+            verdict = reducer.apply_record(
+                self.state, record.offset, record.body
+            )
+            yield AppliedRecord(record=record, verdict=verdict)
             return
         self._pending.append(record)
         if self._restore(record):
             yield from self._resume()
 
-    def _resume(self) -> abc.Iterator[Judged]:
+    def _resume(self) -> abc.Iterator[AppliedRecord]:
         """Fold what was held back, unless a gap is left before it."""
         if self._pending is None:
             return
@@ -107,8 +109,8 @@
         for kept in pending:
             if kept.offset < self.state.next_offset:
                 continue
-            verdict = reducer.fold(self.state, kept.offset, kept.body)
-            yield Judged(record=kept, verdict=verdict)
+            verdict = reducer.apply_record(self.state, kept.offset, kept.body)
+            yield AppliedRecord(record=kept, verdict=verdict)
 
     def _gap_start(self) -> int:
         """Return the oldest offset that was read after the gap."""
--- a/src/aspenfold/_internal/configuration/reducer.py
+++ b/src/aspenfold/_internal/configuration/reducer.py
@@ -26,35 +26,35 @@
     NO_CHANGE = 'no-change'
 
 
-MAP_LEASE = 'map/'
+MAP_LEASE_PREFIX = 'map/'
 """Prefix of the lease under which a group's maps are planned."""
 
 SNAPSHOT_LEASE = 'snapshot'
 
 
-def fold(
+def apply_record(
     state: state_module.FleetState, offset: int, body: dict[str, typing.Any]
 ) -> Verdict:
     """Apply the record at ``offset`` to ``state`` and return the verdict."""
     state.next_offset = offset + 1
     try:
-        record = records.fleet_adapter.validate_python(body)
+        record = records.fleet_record_adapter.validate_python(body)
     except pydantic.ValidationError:
         return Verdict.INVALID
     match record:
         case records.ConfigChange():
-            return _fold_config(state, offset, record)
+            return _apply_config(state, offset, record)
         case records.LeaseGrant():
-            return _fold_lease(state, offset, record)
+            return _apply_lease(state, offset, record)
         case records.MembershipChange():
-            return _fold_membership(state, offset, record)
+            return _apply_membership(state, offset, record)
         case records.MapPlan():
-            return _fold_map(state, offset, record)
+            return _apply_map(state, offset, record)
         case records.Snapshot():
             return Verdict.ACCEPTED
 
 
-def _fold_config(
+def _apply_config(
     state: state_module.FleetState,
     offset: int,
     record: records.ConfigChange,
@@ -72,7 +72,7 @@
     return Verdict.ACCEPTED
 
 
-def _fold_lease(
+def _apply_lease(
     state: state_module.FleetState, offset: int, record: records.LeaseGrant
 ) -> Verdict:
     if record.prior_token != state.lease_token(record.name):
@@ -83,7 +83,7 @@
     return Verdict.ACCEPTED
 
 
-def _fold_membership(
+def _apply_membership(
     state: state_module.FleetState,
     offset: int,
     record: records.MembershipChange,
@@ -100,10 +100,10 @@
     return Verdict.ACCEPTED
 
 
-def _fold_map(
+def _apply_map(
     state: state_module.FleetState, offset: int, record: records.MapPlan
 ) -> Verdict:
-    lease_token = state.lease_token(MAP_LEASE + record.group)
+    lease_token = state.lease_token(MAP_LEASE_PREFIX + record.group)
     if record.lease_token != lease_token or not lease_token:
         return Verdict.STALE_TOKEN
     current = state.maps.get(record.group)
--- a/src/aspenfold/_internal/kernel/clock.py
+++ b/src/aspenfold/_internal/kernel/clock.py
@@ -23,7 +23,7 @@
         return datetime.datetime.now(datetime.timezone.utc)
 
 
-class SteadyClock:
+class MonotonicClock:
     """A clock that goes on evenly when the host's time of day jumps.
 
     Its readings agree with those of no other process.
--- a/src/aspenfold/_internal/leases/duties.py
+++ b/src/aspenfold/_internal/leases/duties.py
@@ -99,7 +99,7 @@
         reason = self._reason_to_plan(group, current, load, now)
         if not reason:
             return None
-        lease = reducer.MAP_LEASE + group.name
+        lease = reducer.MAP_LEASE_PREFIX + group.name
         token = self._keeper.held(state, lease)
         if not token:
             return self._ask(state, lease, now)
--- a/src/aspenfold/_internal/models/base.py
+++ b/src/aspenfold/_internal/models/base.py
@@ -25,7 +25,7 @@
 M = typing.TypeVar('M', bound=pydantic.BaseModel)
 
 
-def describe(exc: pydantic.ValidationError) -> str:
+def format_errors(exc: pydantic.ValidationError) -> str:
     """Return one line for each error: path, problem and value."""
     lines = []
     for error in exc.errors(include_url=False)[:MAX_ERRORS_SHOWN]:
@@ -36,7 +36,7 @@
     return '; '.join(lines)
 
 
-def first_path(exc: pydantic.ValidationError) -> str:
+def first_error_path(exc: pydantic.ValidationError) -> str:
     """Return the JSON path of the first error."""
     return '.'.join(str(part) for part in exc.errors()[0]['loc'])
 
@@ -74,8 +74,8 @@
         raise exceptions.ConfigError(
             exceptions.Failure(
                 code=code,
-                detail=f'{path}: {describe(exc)}',
-                field=first_path(exc),
+                detail=f'{path}: {format_errors(exc)}',
+                field=first_error_path(exc),
                 remedy='correct the named fields; see '
                 'docs/CONFIGURATION.md for the allowed ones',
             )
--- a/src/aspenfold/_internal/models/records.py
+++ b/src/aspenfold/_internal/models/records.py
@@ -129,7 +129,7 @@
     ConfigChange | LeaseGrant | MembershipChange | MapPlan | Snapshot,
     pydantic.Field(discriminator='type'),
 ]
-fleet_adapter: pydantic.TypeAdapter[FleetRecord] = pydantic.TypeAdapter(
+fleet_record_adapter: pydantic.TypeAdapter[FleetRecord] = pydantic.TypeAdapter(
     FleetRecord
 )
 
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -168,7 +168,9 @@
             kind=cfg.kind,
             operations=cfg.operations,
         )
-        threads = cfg.capacity * agent_kernel.QUEUE_FACTOR + SPARE_THREADS
+        threads = (
+            cfg.capacity * agent_kernel.MAX_ACCEPTED_RATIO + SPARE_THREADS
+        )
         return endpoint_client.EndpointClient(
             target=target,
             threads=threads,
@@ -209,7 +211,7 @@
                 code=exceptions.Code.ANSWER_CUT,
                 detail='the agent reached its drain limit',
             )
-            self._apply(self.kernel.cut_all(failure))
+            self._apply(self.kernel.abort_running(failure))
         # Entries learn from these last reports that it has drained.
         await asyncio.sleep(LINGER)
 
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -153,7 +153,7 @@
         while True:
             await asyncio.sleep(DUTY_INTERVAL)
             reading = self._kernel.fleet_reader
-            if not self._kernel.log_up or reading.recovering:
+            if not self._kernel.log_up or reading.awaiting_snapshot:
                 continue
             for record in self._duties.tick(
                 reading.state, self._expert_loads(), self._entry.clock.now()
--- a/src/aspenfold/_internal/processes/status.py
+++ b/src/aspenfold/_internal/processes/status.py
@@ -35,7 +35,7 @@
         'version': state.version,
         'next_offset': state.next_offset,
         'log_up': entry.kernel.log_up,
-        'recovering': entry.kernel.fleet_reader.recovering,
+        'recovering': entry.kernel.fleet_reader.awaiting_snapshot,
         'draining': entry.kernel.draining,
         'in_flight': entry.kernel.in_flight,
         'answered': dict(entry.kernel.answered),
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -26,7 +26,7 @@
             cfg=cfg,
             platform=platform,
             dialect=headers.DIALECT,
-            clock=clock.SteadyClock(),
+            clock=clock.MonotonicClock(),
         )
         await process.run()
 
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -26,7 +26,7 @@
             engine=engine.EngineClient(),
             questions=engine.QUESTIONS,
             order=engine.ORDER,
-            clock=clock.SteadyClock(),
+            clock=clock.MonotonicClock(),
         )
         await agent.run()
 
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -53,7 +53,7 @@
         engine=engine_module.EngineClient(),
         questions=engine_module.QUESTIONS,
         order=engine_module.ORDER,
-        clock=clock.SteadyClock(),
+        clock=clock.MonotonicClock(),
     )
 
 
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -199,7 +199,7 @@
     def lapse_lease(self) -> None:
         """A lease passes on; its paused holder wakes and writes a plan."""
         reading = next(iter(self.world.entries.values())).kernel.fleet_reader
-        name = reducer.MAP_LEASE + 'group-0'
+        name = reducer.MAP_LEASE_PREFIX + 'group-0'
         prior = reading.state.lease_token(name)
         for holder in ('entry-0', 'entry-1'):
             self._jobs += 1
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -113,7 +113,7 @@
         cfg=cfg,
         platform=connect.platform(cfg.store),
         dialect=headers.DIALECT,
-        clock=clock.SteadyClock(),
+        clock=clock.MonotonicClock(),
     )
 
 
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -48,14 +48,14 @@
 def claim_by_last_writer(patch: Patch) -> None:
     """Whoever claims last holds the key."""
 
-    def fold(
+    def apply(
         self: typing.Any, claim: typing.Any, offset: int, at: typing.Any
     ) -> None:
         self._holders[claim.key] = claim_table.Holder(
             claim=claim, offset=offset, at=at
         )
 
-    patch.setattr(claim_table.ClaimFold, '_fold', fold)
+    patch.setattr(claim_table.ClaimTable, '_apply', apply)
 
 
 def no_claim(patch: Patch) -> None:
@@ -133,7 +133,7 @@
 def no_settled_position(patch: Patch) -> None:
     """A late request may take a key over from a later one."""
     patch.setattr(
-        claim_table.ClaimFold,
+        claim_table.ClaimTable,
         'settled_position',
         lambda self, now: self.position,
     )
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -144,7 +144,7 @@
 
     def accepted_only(
         self: reader.FleetReader, page: reader.Page
-    ) -> list[reader.Judged]:
+    ) -> list[reader.AppliedRecord]:
         return [
             judged
             for judged in right(self, page)
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -139,7 +139,9 @@
     @stateful.rule()
     def forget(self) -> None:
         """So much time passes that finished attempts are forgotten."""
-        self.now += agent_kernel.KEEP + datetime.timedelta(seconds=10)
+        self.now += agent_kernel.ATTEMPT_RETENTION + datetime.timedelta(
+            seconds=10
+        )
         self._apply(self.kernel.tick(self.now))
 
     @stateful.invariant()
--- a/tests/unit/test_claim_machine.py
+++ b/tests/unit/test_claim_machine.py
@@ -23,7 +23,7 @@
         super().__init__()
         self.log = fake_log.FakeLog()
         self.now = sim_module.START
-        self.folds = [table.ClaimFold(window=WINDOW) for _ in range(3)]
+        self.folds = [table.ClaimTable(window=WINDOW) for _ in range(3)]
         self.number = 0
         self.claimed_at: dict[str, datetime.datetime] = {}
         self.holders: dict[tuple[int, str], str] = {}
@@ -62,7 +62,9 @@
     def read(self, who: int, limit: int) -> None:
         """An entry reads a page."""
         known = self.folds[who]
-        known.feed(self.log.read(STREAM, known.position, limit), self.now)
+        known.apply_page(
+            self.log.read(STREAM, known.position, limit), self.now
+        )
 
     @stateful.rule(seconds=st.sampled_from([1, 20, 61]))
     def wait(self, seconds: int) -> None:
@@ -72,7 +74,7 @@
     @stateful.rule(who=FOLDS)
     def restart(self, who: int) -> None:
         """A fresh entry starts to read."""
-        self.folds[who] = table.ClaimFold(window=WINDOW)
+        self.folds[who] = table.ClaimTable(window=WINDOW)
 
     @stateful.rule(keep=st.integers(0, 6))
     def trim(self, keep: int) -> None:
@@ -95,7 +97,7 @@
         claim's time decides, alike for all readers.
         """
         for known in self.folds:
-            if not known.judgeable(self.now):
+            if not known.has_all_claims(self.now):
                 continue
             for key in ('k', 'l'):
                 holder = known.holder(key)
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -39,7 +39,7 @@
     def _append(self, record: records.Record) -> None:
         self.log.append(STREAM, record)
         page = self.log.read(STREAM, self.reference.position)
-        for judged in self.reference.feed(page):
+        for judged in self.reference.apply_page(page):
             body = judged.record.body
             accepted = judged.verdict is reducer.Verdict.ACCEPTED
             if body['type'] == 'config' and accepted:
@@ -95,7 +95,7 @@
     def snapshot(self, who: int) -> None:
         """A reader, however far behind, writes a snapshot."""
         known = self.readers[who]
-        if known.recovering:
+        if known.awaiting_snapshot:
             return
         self.number += 1
         self._append(
@@ -120,7 +120,7 @@
     def read(self, who: int, limit: int) -> None:
         """A reader reads a page."""
         known = self.readers[who]
-        known.feed(self.log.read(STREAM, known.position, limit))
+        known.apply_page(self.log.read(STREAM, known.position, limit))
 
     @stateful.rule(who=READERS)
     def restart(self, who: int) -> None:
@@ -177,16 +177,16 @@
 
 
 def _fold_at_once(self: typing.Any, record: typing.Any) -> typing.Any:
-    verdict = reducer.fold(self.state, record.offset, record.body)
-    yield reader.Judged(record=record, verdict=verdict)
+    verdict = reducer.apply_record(self.state, record.offset, record.body)
+    yield reader.AppliedRecord(record=record, verdict=verdict)
 
 
 @pytest.mark.parametrize(
     ('where', 'name', 'mutant'),
     [
-        (reducer, '_fold_config', _last_writer_wins),
+        (reducer, '_apply_config', _last_writer_wins),
         (reader.FleetReader, 'adopt', _adopt_anything),
-        (reader.FleetReader, '_take', _fold_at_once),
+        (reader.FleetReader, '_apply_or_hold', _fold_at_once),
     ],
     ids=['last_writer_wins', 'adopt_anything', 'fold_past_a_gap'],
 )
@@ -227,11 +227,11 @@
                 state='draining',
             ),
         )
-    ahead.feed(log.read(STREAM, 1, limit=1))
+    ahead.apply_page(log.read(STREAM, 1, limit=1))
     log.trim(STREAM, 2)
-    behind.feed(log.read(STREAM, 1))
-    assert behind.recovering
+    behind.apply_page(log.read(STREAM, 1))
+    assert behind.awaiting_snapshot
     data = ahead.state.to_json()
     assert behind.adopt(state_module.FleetState.from_json(data))
-    assert not behind.recovering
+    assert not behind.awaiting_snapshot
     assert sorted(behind.state.members) == ['e0', 'e1', 'e2']
--- a/tests/unit/test_http1_server.py
+++ b/tests/unit/test_http1_server.py
@@ -54,7 +54,7 @@
 
         server = http1_server.Server(
             handler=handler,
-            clock=clock.SteadyClock(),
+            clock=clock.MonotonicClock(),
             limits=lambda: plan.DEFAULT_LIMITS,
         )
         connection = http1_server.ServerConnection(host=server)
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -14,7 +14,7 @@
 from aspenfold._internal.models import fleet
 from aspenfold._internal.models import records
 
-LEASE = reducer.MAP_LEASE + 'group-0'
+LEASE = reducer.MAP_LEASE_PREFIX + 'group-0'
 GROUP = {
     'name': 'group-0',
     'service': 'llm',
@@ -54,7 +54,9 @@
 ) -> list[reducer.Verdict]:
     """Fold records in order and return the verdicts."""
     return [
-        reducer.fold(state, state.next_offset, record.model_dump(mode='json'))
+        reducer.apply_record(
+            state, state.next_offset, record.model_dump(mode='json')
+        )
         for record in given
     ]
 
--- a/tests/unit/test_poison.py
+++ b/tests/unit/test_poison.py
@@ -94,7 +94,7 @@
     document = fleets.document()
     state = state_module.FleetState()
     state.set_document(1, document, fleet.Fleet.model_validate(document))
-    reducer.fold(state, 2, body)
+    reducer.apply_record(state, 2, body)
     assert state.next_offset == 3
     assert state.fleet is not None
 
@@ -104,7 +104,7 @@
 def test_fleet_stream_after_a_gap(body: typing.Any) -> None:
     """A reader that looks for a snapshot passes over a bad one."""
     known = reader.FleetReader()
-    known.feed(page(body, 5))
+    known.apply_page(page(body, 5))
     assert known.position == 6
 
 
@@ -112,9 +112,9 @@
 @hypothesis.given(body=BODY)
 def test_claim_stream(body: typing.Any) -> None:
     """The fold passes over it."""
-    known = claim_table.ClaimFold(window=claim_table.SETTLED_AFTER)
+    known = claim_table.ClaimTable(window=claim_table.SETTLED_AFTER)
     record = reader.LogRecord(offset=1, body=body)
     once = reader.Page(records=[record], first=1, next=2)
-    known.feed(once, sim_module.START)
-    known.feed(page(body, 5), sim_module.START)
+    known.apply_page(once, sim_module.START)
+    known.apply_page(page(body, 5), sim_module.START)
     assert known.position == 6
