--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -140,7 +140,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An audit that shows only accepted records fails its check."""
-    right = reader.FleetReader.feed
+    right = reader.FleetReader.apply_page
 
     def accepted_only(
         self: reader.FleetReader, page: reader.Page
@@ -157,7 +157,7 @@
     with pytest.raises(exceptions.ConfigError):
         run_apply(log, write(tmp_path, 'mine'))
     assert audited(log) == ['accepted', 'accepted', 'conflict']
-    monkeypatch.setattr(reader.FleetReader, 'feed', accepted_only)
+    monkeypatch.setattr(reader.FleetReader, 'apply_page', accepted_only)
     assert audited(log) != ['accepted', 'accepted', 'conflict']
 
 
