--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -26,7 +26,7 @@
             engine=engine.EngineClient(),
             questions=engine.READ_TARGETS,
             order=engine.ORDER_TARGET,
-            clock=clock.SteadyClock(),
+            clock=clock.MonotonicClock(),
         )
         await agent.run()
 
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -113,7 +113,7 @@
         cfg=cfg,
         platform=factory.create_platform(cfg.store),
         dialect=headers.HEADER_NAMES,
-        clock=clock.SteadyClock(),
+        clock=clock.MonotonicClock(),
     )
 
 
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -13,8 +13,8 @@
 from aspenfold._internal.commands import audit
 from aspenfold._internal.commands import exits
 from aspenfold._internal.commands import member
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal import exceptions
 
 NO_WAIT = datetime.timedelta(0)
@@ -140,15 +140,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An audit that shows only accepted records fails its check."""
-    right = reader.FleetReader.feed
+    right = reader.FleetReader.apply_page
 
     def accepted_only(
         self: reader.FleetReader, page: reader.Page
-    ) -> list[reader.Judged]:
+    ) -> list[reader.AppliedRecord]:
         return [
             judged
             for judged in right(self, page)
-            if judged.verdict is fold.Verdict.ACCEPTED
+            if judged.verdict is reducer.Verdict.ACCEPTED
         ]
 
     run_apply(log, write(tmp_path, 'first'))
@@ -157,7 +157,7 @@
     with pytest.raises(exceptions.ConfigError):
         run_apply(log, write(tmp_path, 'mine'))
     assert audited(log) == ['accepted', 'accepted', 'conflict']
-    monkeypatch.setattr(reader.FleetReader, 'feed', accepted_only)
+    monkeypatch.setattr(reader.FleetReader, 'apply_page', accepted_only)
     assert audited(log) != ['accepted', 'accepted', 'conflict']
 
 
