--- a/src/aspenfold/_internal/commands/platform.py
+++ b/src/aspenfold/_internal/commands/platform.py
@@ -169,7 +169,7 @@
     def _call(
         self, host: hosts.Host, method: str, path: str, body: object
     ) -> dict[str, typing.Any] | None:
-        pool = http.pool(f'http://{host.address}:{host.port}')
+        pool = http.connection_pool(f'http://{host.address}:{host.port}')
         bearer = f'Bearer {self.cfg.operator_key}'
         try:
             answer: dict[str, typing.Any] = http.call_json(
--- a/src/aspenfold/_internal/network/agent_client.py
+++ b/src/aspenfold/_internal/network/agent_client.py
@@ -13,10 +13,10 @@
 from aspenfold._internal.rpc import aspenfold_grpc as rpc
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
-CONNECT_TIMEOUT = 1.0
-UNARY_TIMEOUT = 1.5
+CONNECT_TIMEOUT_S = 1.0
+UNARY_TIMEOUT_S = 1.5
 
-LOST = (
+CALL_ERRORS = (
     OSError,
     asyncio.TimeoutError,
     grpclib.exceptions.GRPCError,
@@ -56,7 +56,7 @@
                 )
                 async for message in stream:
                     yield codec.frame_from_pb(message)
-        except LOST as exc:
+        except CALL_ERRORS as exc:
             raise LegLost(sent=sent) from exc
 
     async def report(
@@ -65,7 +65,7 @@
         """Ask for a report."""
         stub = self._stub(address, port)
         return await stub.Report(
-            request, timeout=UNARY_TIMEOUT, metadata=self._metadata
+            request, timeout=UNARY_TIMEOUT_S, metadata=self._metadata
         )
 
     async def cancel(self, address: str, port: int, attempt_id: str) -> None:
@@ -73,33 +73,33 @@
         try:
             await self._stub(address, port).Cancel(
                 pb.CancelRequest(attempt_id=attempt_id),
-                timeout=UNARY_TIMEOUT,
+                timeout=UNARY_TIMEOUT_S,
                 metadata=self._metadata,
             )
-        except LOST:
+        except CALL_ERRORS:
             return
 
-    async def group(
+    async def send_group_message(
         self, address: str, port: int, message: messages.Message
     ) -> None:
         """Send a message of the expert map protocol; best effort."""
         try:
             await self._stub(address, port).Group(
                 codec.group_to_pb(message),
-                timeout=UNARY_TIMEOUT,
+                timeout=UNARY_TIMEOUT_S,
                 metadata=self._metadata,
             )
-        except LOST:
+        except CALL_ERRORS:
             return
 
-    async def fleet(
+    async def fetch_fleet(
         self, address: str, port: int, have_offset: int
     ) -> pb.FleetReply:
         """Ask a peer entry for a fleet state later than ``have_offset``."""
         channel = self._channel(address, port)
         return await rpc.PeerStub(channel).Fleet(
             pb.FleetRequest(have_offset=have_offset),
-            timeout=UNARY_TIMEOUT,
+            timeout=UNARY_TIMEOUT_S,
             metadata=self._metadata,
         )
 
@@ -114,9 +114,9 @@
         # request that never left from one whose fate is unknown.
         channel = self._channel(address, port)
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await channel.__connect__()
-        except LOST as exc:
+        except CALL_ERRORS as exc:
             raise LegLost(sent=False) from exc
 
     def _channel(self, address: str, port: int) -> grpclib.client.Channel:
--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -16,7 +16,7 @@
 ExecuteStream = grpclib.server.Stream
 
 
-class AgentShell(typing.Protocol):
+class AgentHandler(typing.Protocol):
     """What the service needs of the agent's process."""
 
     name: str
@@ -36,18 +36,18 @@
     def cancel(self, attempt_id: str) -> None:
         """Nobody waits for the attempt."""
 
-    def group_message(self, message: messages.Message) -> None:
+    def on_group_message(self, message: messages.Message) -> None:
         """A message of the expert map protocol arrived."""
 
-    def reported(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Take an entry's news and give the report."""
 
 
 class AgentService(rpc.AgentBase):
-    """The generated service, served by an agent's shell."""
+    """The generated service, served by an agent's handler."""
 
-    def __init__(self, *, shell: AgentShell) -> None:
-        self._shell = shell
+    def __init__(self, *, handler: AgentHandler) -> None:
+        self._handler = handler
         self._next_leg = 1
 
     async def Execute(self, stream: ExecuteStream) -> None:
@@ -59,7 +59,7 @@
         self._next_leg += 1
         queue = frame_queue.FrameQueue()
         request = codec.request_from_pb(message)
-        self._shell.execute(number, queue, request)
+        self._handler.execute(number, queue, request)
         try:
             while taken := await queue.take():
                 for frame in taken:
@@ -67,14 +67,14 @@
                 # Lets frames that arrive together gather into one.
                 await asyncio.sleep(0)
         finally:
-            self._shell.leg_closed(number)
+            self._handler.leg_closed(number)
 
     async def Cancel(self, stream: ExecuteStream) -> None:
         """Stop work that nobody waits for."""
         message = await stream.recv_message()
         if message is None:
             return
-        self._shell.cancel(message.attempt_id)
+        self._handler.cancel(message.attempt_id)
         await stream.send_message(pb.CancelReply())
 
     async def Report(self, stream: ExecuteStream) -> None:
@@ -82,12 +82,12 @@
         message = await stream.recv_message()
         if message is None:
             return
-        await stream.send_message(self._shell.reported(message))
+        await stream.send_message(self._handler.on_report(message))
 
     async def Group(self, stream: ExecuteStream) -> None:
         """Take a message of the expert map protocol."""
         message = await stream.recv_message()
         if message is None:
             return
-        self._shell.group_message(codec.group_from_pb(message))
+        self._handler.on_group_message(codec.group_from_pb(message))
         await stream.send_message(pb.GroupReply())
--- a/src/aspenfold/_internal/network/datagrams.py
+++ b/src/aspenfold/_internal/network/datagrams.py
@@ -4,14 +4,14 @@
 from collections import abc
 import typing
 
-Receiver = abc.Callable[[bytes, str], None]
+DatagramHandler = abc.Callable[[bytes, str], None]
 """Takes a datagram and the IP address that it came from."""
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """Sends and receives datagrams at one address."""
 
-    def __init__(self, *, receive: Receiver) -> None:
+    def __init__(self, *, receive: DatagramHandler) -> None:
         self._receive = receive
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -34,10 +34,12 @@
             self._transport.sendto(data, (host, port))
 
 
-async def listen(host: str, port: int, receive: Receiver) -> Datagrams:
+async def listen(
+    host: str, port: int, receive: DatagramHandler
+) -> DatagramEndpoint:
     """Open the socket."""
     loop = asyncio.get_running_loop()
     _, protocol = await loop.create_datagram_endpoint(
-        lambda: Datagrams(receive=receive), local_addr=(host, port)
+        lambda: DatagramEndpoint(receive=receive), local_addr=(host, port)
     )
     return protocol
--- a/src/aspenfold/_internal/network/endpoint_client.py
+++ b/src/aspenfold/_internal/network/endpoint_client.py
@@ -17,35 +17,35 @@
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.network import http
 
-DONE = '[DONE]'
+STREAM_END = '[STREAM_END]'
 """The engine's mark that its stream is whole."""
 
-STREAM_CHUNK = 4096
-LONG_READ = 600.0
+STREAM_CHUNK_BYTES = 4096
+READ_TIMEOUT_S = 600.0
 """Seconds without a byte after which an endpoint counts as lost."""
 
-PRIORITY_NUMBER = {'interactive': 0, 'generation': 1, 'batch': 2}
+ENGINE_PRIORITIES = {'interactive': 0, 'generation': 1, 'batch': 2}
 """The engine's own priorities; lower is more urgent."""
 
 
-class Sink(typing.Protocol):
+class ResponseSink(typing.Protocol):
     """Where an attempt's answer goes; called on the loop's thread."""
 
-    def head(self, attempt_id: str, head: frames.Head) -> None:
+    def on_head(self, attempt_id: str, head: frames.Head) -> None:
         """The endpoint began to answer."""
 
-    def items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
+    def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
         """The endpoint gave the next items."""
 
-    def ended(self, attempt_id: str) -> None:
+    def on_end(self, attempt_id: str) -> None:
         """The answer is whole."""
 
-    def failed(self, attempt_id: str, failure: exceptions.Failure) -> None:
+    def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
         """There is no whole answer."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Target:
+class EndpointConfig:
     """Where the endpoint listens and what its operations are called."""
 
     base_url: str
@@ -60,15 +60,15 @@
     def __init__(
         self,
         *,
-        target: Target,
+        config: EndpointConfig,
         threads: int,
         loop: asyncio.AbstractEventLoop,
-        sink: Sink,
+        sink: ResponseSink,
     ) -> None:
-        self._target = target
+        self._config = config
         self._loop = loop
         self._sink = sink
-        self._pool = http.pool(target.base_url, size=threads)
+        self._pool = http.connection_pool(config.base_url, size=threads)
         self._executor = concurrent.futures.ThreadPoolExecutor(
             max_workers=threads, thread_name_prefix='endpoint'
         )
@@ -79,22 +79,22 @@
 
     def cancel(self, attempt_id: str) -> None:
         """Stop the endpoint's work on an attempt; best effort."""
-        if self._target.kind == 'model':
-            path = f'{self._target.path}/requests/{attempt_id}'
+        if self._config.kind == 'model':
+            path = f'{self._config.path}/requests/{attempt_id}'
             self._executor.submit(self._call, 'DELETE', path, None)
 
-    async def order(
+    async def send_order(
         self, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
         """Give the engine an order; None if it did not take it."""
-        path = f'{self._target.path}/orders'
+        path = f'{self._config.path}/orders'
         return await self._loop.run_in_executor(
             self._executor, self._call, 'POST', path, body
         )
 
-    async def state(self) -> dict[str, typing.Any] | None:
+    async def fetch_state(self) -> dict[str, typing.Any] | None:
         """Return the engine's state of this rank, None if it is silent."""
-        path = f'{self._target.path}/state'
+        path = f'{self._config.path}/state'
         return await self._loop.run_in_executor(
             self._executor, self._call, 'GET', path, None
         )
@@ -108,7 +108,11 @@
     ) -> dict[str, typing.Any] | None:
         try:
             answer: dict[str, typing.Any] = http.call_json(
-                self._pool, method, path, body=body, read_timeout=LONG_READ
+                self._pool,
+                method,
+                path,
+                body=body,
+                read_timeout=READ_TIMEOUT_S,
             )
         except http.ServiceError:
             return None
@@ -117,30 +121,30 @@
     # -- in a thread -----------------------------------------------------
 
     def _run(self, request: frames.AttemptRequest) -> None:
-        if request.operation not in self._target.operations:
+        if request.operation not in self._config.operations:
             # The fleet and this agent's settings differ; nothing was sent.
             failure = exceptions.Failure(
                 code=exceptions.Code.UNKNOWN_OPERATION,
                 detail=f'the agent knows no operation {request.operation!r}',
             )
-            self._post(self._sink.failed, request, failure)
+            self._post(self._sink.on_failure, request, failure)
             return
         try:
             self._answer(request)
         except urllib3.exceptions.HTTPError as exc:
-            self._post(self._sink.failed, request, _lost(exc))
+            self._post(self._sink.on_failure, request, _lost(exc))
         except Exception as exc:
             # A broken answer must end the attempt, whatever broke it.
             failure = exceptions.Failure(
                 code=exceptions.Code.ENDPOINT_FAILED,
                 detail=f'the endpoint broke its protocol: {exc!r:.100}',
             )
-            self._post(self._sink.failed, request, failure)
+            self._post(self._sink.on_failure, request, failure)
 
     def _answer(self, request: frames.AttemptRequest) -> None:
         answer = self._pool.request(
             'POST',
-            self._target.path + self._target.operations[request.operation],
+            self._config.path + self._config.operations[request.operation],
             body=self._body(request),
             headers={
                 'Content-Type': 'application/json',
@@ -149,7 +153,7 @@
             },
             preload_content=False,
             timeout=urllib3.Timeout(
-                connect=http.CONNECT_TIMEOUT, read=LONG_READ
+                connect=http.CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S
             ),
         )
         content_type = answer.headers.get('Content-Type', '')
@@ -160,11 +164,11 @@
             # never sees a status whose body is then lost.
             data = answer.read()
             answer.release_conn()
-            self._post(self._sink.head, request, head)
-            self._post(self._sink.items, request, (data,))
-            self._post(self._sink.ended, request)
+            self._post(self._sink.on_head, request, head)
+            self._post(self._sink.on_items, request, (data,))
+            self._post(self._sink.on_end, request)
             return
-        self._post(self._sink.head, request, head)
+        self._post(self._sink.on_head, request, head)
         self._stream(request, answer)
 
     def _stream(
@@ -172,31 +176,31 @@
         request: frames.AttemptRequest,
         answer: urllib3.BaseHTTPResponse,
     ) -> None:
-        chunks = answer.stream(STREAM_CHUNK, decode_content=True)
+        chunks = answer.stream(STREAM_CHUNK_BYTES, decode_content=True)
         whole = False
         for event in sseclient.SSEClient(chunks).events():
-            if event.data == DONE:
+            if event.data == STREAM_END:
                 whole = True
                 break
             item = event.data.encode()
-            self._post(self._sink.items, request, (item,))
+            self._post(self._sink.on_items, request, (item,))
         answer.release_conn()
         if whole:
-            self._post(self._sink.ended, request)
+            self._post(self._sink.on_end, request)
             return
         failure = exceptions.Failure(
             code=exceptions.Code.ENDPOINT_LOST,
             detail='the endpoint ended its stream early',
         )
-        self._post(self._sink.failed, request, failure)
+        self._post(self._sink.on_failure, request, failure)
 
     def _body(self, request: frames.AttemptRequest) -> bytes:
-        if self._target.kind != 'model':
+        if self._config.kind != 'model':
             return request.body
         body = orjson.loads(request.body)
         body['request_id'] = request.attempt_id
         body['resume_from'] = request.resume_from
-        body['priority'] = PRIORITY_NUMBER[request.priority]
+        body['priority'] = ENGINE_PRIORITIES[request.priority]
         return orjson.dumps(body)
 
     def _post(
--- a/src/aspenfold/_internal/network/host_list_client.py
+++ b/src/aspenfold/_internal/network/host_list_client.py
@@ -9,7 +9,7 @@
     """Reads the host list; blocks, so run it in a thread."""
 
     def __init__(self, *, base_url: str) -> None:
-        self._pool = http.pool(base_url)
+        self._pool = http.connection_pool(base_url)
 
     def read(self) -> hosts.HostList:
         """Return the list as the platform shows it now."""
--- a/src/aspenfold/_internal/network/http.py
+++ b/src/aspenfold/_internal/network/http.py
@@ -5,19 +5,23 @@
 import orjson
 import urllib3
 
-CONNECT_TIMEOUT = 1.0
-READ_TIMEOUT = 5.0
+CONNECT_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 5.0
 
 NO_RETRY = urllib3.Retry(0, redirect=0)
 
 
-def pool(base_url: str, *, size: int = 4) -> urllib3.HTTPConnectionPool:
+def connection_pool(
+    base_url: str, *, size: int = 4
+) -> urllib3.HTTPConnectionPool:
     """Return a connection pool for one service, without retries."""
     return urllib3.connection_from_url(
         base_url,
         maxsize=size,
         retries=NO_RETRY,
-        timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT, read=READ_TIMEOUT),
+        timeout=urllib3.Timeout(
+            connect=CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S
+        ),
     )
 
 
@@ -38,7 +42,7 @@
     path: str,
     *,
     body: object = None,
-    read_timeout: float = READ_TIMEOUT,
+    read_timeout: float = READ_TIMEOUT_S,
     headers: dict[str, str] | None = None,
 ) -> typing.Any:
     """Call a JSON service and return its decoded answer."""
@@ -50,7 +54,7 @@
             body=data,
             headers=headers,
             timeout=urllib3.Timeout(
-                connect=CONNECT_TIMEOUT, read=read_timeout
+                connect=CONNECT_TIMEOUT_S, read=read_timeout
             ),
         )
     except urllib3.exceptions.HTTPError as exc:
--- a/src/aspenfold/_internal/network/http_api.py
+++ b/src/aspenfold/_internal/network/http_api.py
@@ -23,19 +23,19 @@
 from aspenfold._internal.network import request_validator
 from aspenfold._internal.network import response_queue
 
-IDLE = 1.0
+DISCONNECT_CHECK_INTERVAL_S = 1.0
 """Seconds between two looks whether a silent answer's caller is there."""
 
-SSE = 'text/event-stream'
-JSON = 'application/json'
-BACKLOG = 512
+SSE_CONTENT_TYPE = 'text/event-stream'
+JSON_CONTENT_TYPE = 'application/json'
+ACCEPT_BACKLOG = 512
 """Connections that may wait to be accepted.
 
 CherryPy's own 5 let the system reset some of 24 callers that came at
 once, as the benchmark of real processes found.
 """
 
-SLOW_READ_TIMEOUT = 10
+SOCKET_TIMEOUT_S = 10
 """Seconds that a caller may keep a connection without a byte."""
 
 
@@ -162,7 +162,7 @@
         if isinstance(first, response_queue.Failed):
             return _error(first.failure, request_id)
         assert isinstance(first, frames.Head)
-        if first.content_type.startswith(SSE):
+        if first.content_type.startswith(SSE_CONTENT_TYPE):
             return self._stream(response, first, request_id)
         return self._plain(response, first, request_id)
 
@@ -196,7 +196,7 @@
         if isinstance(first, response_queue.Failed):
             return iter((_error(first.failure, request_id),))
         cherrypy.response.status = head.status
-        cherrypy.response.headers['Content-Type'] = SSE
+        cherrypy.response.headers['Content-Type'] = SSE_CONTENT_TYPE
         cherrypy.response.headers['Cache-Control'] = 'no-store'
         cherrypy.response.headers['Aspenfold-Outcome'] = 'ran'
         return self._events(response, first, request_id)
@@ -226,7 +226,7 @@
                         ended = True
                         yield _sse_error(failure, request_id)
                         return
-                part = response.take(IDLE)
+                part = response.take(DISCONNECT_CHECK_INTERVAL_S)
         finally:
             if not ended:
                 self._loop.caller_left(request_id)
@@ -235,7 +235,7 @@
         self, response: response_queue.ResponseQueue
     ) -> response_queue.Part:
         while True:
-            part = response.take(IDLE)
+            part = response.take(DISCONNECT_CHECK_INTERVAL_S)
             if part is not None:
                 return part
 
@@ -273,7 +273,7 @@
     )
     headers = cherrypy.response.headers
     request_id = str(headers.get('X-Request-Id', ''))
-    headers['Content-Type'] = JSON
+    headers['Content-Type'] = JSON_CONTENT_TYPE
     headers['Aspenfold-Outcome'] = failure.outcome.value
     headers['Aspenfold-Code'] = str(int(failure.code))
     return json.dumps(error_document(failure, request_id))
@@ -299,7 +299,7 @@
 
 
 def _json(value: object) -> bytes:
-    cherrypy.response.headers['Content-Type'] = JSON
+    cherrypy.response.headers['Content-Type'] = JSON_CONTENT_TYPE
     return json.dumps(value).encode()
 
 
@@ -367,8 +367,8 @@
                 'server.socket_host': str(cfg.listen.address),
                 'server.socket_port': cfg.listen.port,
                 'server.thread_pool': cfg.http_threads,
-                'server.socket_queue_size': BACKLOG,
-                'server.socket_timeout': SLOW_READ_TIMEOUT,
+                'server.socket_queue_size': ACCEPT_BACKLOG,
+                'server.socket_timeout': SOCKET_TIMEOUT_S,
                 'server.max_request_header_size': cfg.max_header_bytes,
                 'server.max_request_body_size': 0,
                 'request.process_request_body': False,
@@ -381,7 +381,7 @@
         try:
             cherrypy.engine.start()
         except Exception as exc:
-            raise port_errors.unavailable(
+            raise port_errors.port_unavailable(
                 where=cfg.listen.url, field='listen.port', exc=exc
             ) from exc
         return int(cherrypy.server.httpserver.bind_addr[1])
--- a/src/aspenfold/_internal/network/listen.py
+++ b/src/aspenfold/_internal/network/listen.py
@@ -18,7 +18,7 @@
     try:
         sock = socket.create_server((str(address.address), address.port))
     except OSError as exc:
-        raise port_errors.unavailable(
+        raise port_errors.port_unavailable(
             where=address.url, field=f'{field}.port', exc=exc
         ) from exc
     port = int(sock.getsockname()[1])
--- a/src/aspenfold/_internal/network/log_client.py
+++ b/src/aspenfold/_internal/network/log_client.py
@@ -7,9 +7,9 @@
 from aspenfold._internal.models import records
 from aspenfold._internal.network import http
 
-LONG_POLL_MS = 2000
-POOL_SIZE = 8
-MARGIN = 3.0
+LONG_POLL_WAIT_MS = 2000
+MAX_CONNECTIONS = 8
+READ_TIMEOUT_MARGIN_S = 3.0
 """Seconds that a long poll may take beyond its wait."""
 
 
@@ -17,7 +17,7 @@
     """Appends to and reads from streams; blocks, so run it in a thread."""
 
     def __init__(self, *, base_url: str) -> None:
-        self._pool = http.pool(base_url, size=POOL_SIZE)
+        self._pool = http.connection_pool(base_url, size=MAX_CONNECTIONS)
 
     def append(self, stream: str, record: records.Record) -> int:
         """Append a record and return its offset.
@@ -66,7 +66,7 @@
                 method,
                 f'/streams/{stream}{query}',
                 body=body,
-                read_timeout=wait + MARGIN,
+                read_timeout=wait + READ_TIMEOUT_MARGIN_S,
             )
         except http.ServiceError as exc:
             raise exceptions.LogUnavailable(
--- a/src/aspenfold/_internal/network/port_errors.py
+++ b/src/aspenfold/_internal/network/port_errors.py
@@ -5,7 +5,7 @@
 from aspenfold._internal import exceptions
 
 
-def unavailable(
+def port_unavailable(
     *, where: str, field: str, exc: Exception
 ) -> exceptions.SettingsError:
     """Return the error for address ``where``, which ``field`` names."""
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -66,9 +66,9 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
-        service = agent_service.AgentService(shell=self)
+        service = agent_service.AgentService(handler=self)
         server = grpclib.server.Server([service])
-        auth.guard(server, self._cfg.system_key)
+        auth.require_system_key(server, self._cfg.system_key)
         port = await listen.start(server, self._cfg.listen, 'listen')
         self._join_group()
         self._tasks.spawn(self._tick())
@@ -109,12 +109,12 @@
         """Nobody waits for the attempt."""
         self._apply(self.kernel.cancel(attempt_id))
 
-    def group_message(self, message: messages.Message) -> None:
+    def on_group_message(self, message: messages.Message) -> None:
         """A message of the expert map protocol arrived."""
         if self._member is not None:
             self._member.receive(message)
 
-    def reported(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Take an entry's news and give the report."""
         self._version = max(self._version, request.version)
         self.kernel.ordered(
@@ -139,20 +139,20 @@
 
     # -- from the endpoint, on the loop ----------------------------------
 
-    def head(self, attempt_id: str, head: frames.Head) -> None:
+    def on_head(self, attempt_id: str, head: frames.Head) -> None:
         """The endpoint began to answer."""
         self._apply(self.kernel.endpoint_head(attempt_id, head))
 
-    def items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
+    def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
         """The endpoint gave the next items."""
         self._apply(self.kernel.endpoint_items(attempt_id, items))
 
-    def ended(self, attempt_id: str) -> None:
+    def on_end(self, attempt_id: str) -> None:
         """The answer is whole."""
         events.emit(events.Event.ATTEMPT_ENDED, attempt=attempt_id)
         self._apply(self.kernel.endpoint_ended(attempt_id, self._clock.now()))
 
-    def failed(self, attempt_id: str, failure: exceptions.Failure) -> None:
+    def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
         """There is no whole answer."""
         events.emit(
             events.Event.ATTEMPT_REFUSED,
@@ -165,7 +165,7 @@
 
     def _make_endpoint(self) -> endpoint_client.EndpointClient:
         cfg = self._cfg
-        target = endpoint_client.Target(
+        config = endpoint_client.EndpointConfig(
             base_url=cfg.endpoint.url,
             path=cfg.endpoint_path,
             kind=cfg.kind,
@@ -175,7 +175,7 @@
             cfg.capacity * agent_kernel.MAX_ACCEPTED_RATIO + SPARE_THREADS
         )
         return endpoint_client.EndpointClient(
-            target=target,
+            config=config,
             threads=threads,
             loop=asyncio.get_running_loop(),
             sink=self,
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -84,7 +84,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._stop.set)
         peers = grpclib.server.Server([peer_service.PeerService(entry=self)])
-        auth.guard(peers, self.cfg.system_key)
+        auth.require_system_key(peers, self.cfg.system_key)
         peer_port = await listen.start(
             peers, self.cfg.peer_listen, 'peer_listen'
         )
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -362,6 +362,6 @@
     try:
         return await server.start(address.host, address.port)
     except OSError as exc:
-        raise port_errors.unavailable(
+        raise port_errors.port_unavailable(
             where=str(address), field=field, exc=exc
         ) from exc
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -94,7 +94,7 @@
             self._apply(self._leader.plan(*self._plan))
 
     async def _begin(self) -> None:
-        state = await self._endpoint.state()
+        state = await self._endpoint.fetch_state()
         if state is None:
             return
         self._rank = rank_module.RankMachine(
@@ -118,7 +118,7 @@
 
     async def _follow_engine(self, rank: rank_module.RankMachine) -> None:
         self._ensure_leader()
-        state = await self._endpoint.state()
+        state = await self._endpoint.fetch_state()
         if state is None:
             return
         self.expert_load = state.get('expert_load', [])
@@ -142,13 +142,13 @@
             return
         address = self._addresses.get(message.target)
         if address is not None:
-            self._spawn(self._clients.group(*address, message))
+            self._spawn(self._clients.send_group_message(*address, message))
 
     async def _order(self, action: EngineOrder) -> None:
         """Give the engine an order, and the machine its answer."""
         rank = self._rank
         assert rank is not None
-        answer = await self._endpoint.order(_order_body(action))
+        answer = await self._endpoint.send_order(_order_body(action))
         if answer is None:
             events.emit(
                 events.Event.ORDER_REFUSED,
--- a/src/aspenfold/_internal/processes/log_tail.py
+++ b/src/aspenfold/_internal/processes/log_tail.py
@@ -66,7 +66,7 @@
 
     def _read(self, stream: str, start: int) -> reader.Page:
         return self._client.read(
-            stream, start, wait_ms=log_client.LONG_POLL_MS
+            stream, start, wait_ms=log_client.LONG_POLL_WAIT_MS
         )
 
     def _note_lost(self, detail: str) -> None:
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -205,8 +205,8 @@
     async def _ask_peer(self, address: str, port: int) -> None:
         have = self._kernel.fleet_reader.state.next_offset
         try:
-            reply = await self._entry.clients.fleet(address, port, have)
-        except agent_client.LOST:
+            reply = await self._entry.clients.fetch_fleet(address, port, have)
+        except agent_client.CALL_ERRORS:
             return
         if not reply.state:
             return
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -74,7 +74,7 @@
         try:
             await self._server.start(address.host, address.port)
         except OSError as exc:
-            raise port_errors.unavailable(
+            raise port_errors.port_unavailable(
                 where=str(address), field='listen', exc=exc
             ) from exc
         events.emit(
--- a/src/aspenfold/_internal/processes/watcher.py
+++ b/src/aspenfold/_internal/processes/watcher.py
@@ -80,7 +80,7 @@
             reply = await self._entry.clients.report(
                 str(host.address), host.port, self._request(known)
             )
-        except agent_client.LOST as exc:
+        except agent_client.CALL_ERRORS as exc:
             self._note_lost(known, exc)
             return
         finally:
--- a/tests/unit/test_endpoint_client.py
+++ b/tests/unit/test_endpoint_client.py
@@ -22,19 +22,19 @@
             asyncio.get_running_loop().create_future()
         )
 
-    def head(self, attempt_id: str, head: frames.Head) -> None:
+    def on_head(self, attempt_id: str, head: frames.Head) -> None:
         """Not expected."""
         raise AssertionError(head)
 
-    def items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
+    def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
         """Not expected."""
         raise AssertionError(items)
 
-    def ended(self, attempt_id: str) -> None:
+    def on_end(self, attempt_id: str) -> None:
         """Not expected."""
         raise AssertionError(attempt_id)
 
-    def failed(self, attempt_id: str, failure: exceptions.Failure) -> None:
+    def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
         """Keep the failure."""
         self.failure.set_result(failure)
 
@@ -61,7 +61,7 @@
     """Call an endpoint on ``port`` and return why it failed."""
     sink = Sink()
     client = endpoint_client.EndpointClient(
-        target=endpoint_client.Target(
+        config=endpoint_client.EndpointConfig(
             base_url=f'http://127.0.0.1:{port}',
             path='',
             kind='plain',
