--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -13,7 +13,7 @@
 from aspenfold._internal.commands import exits
 from aspenfold._internal.commands import output
 from aspenfold._internal import exceptions
-from aspenfold._internal.gateway import maps_duty
+from aspenfold._internal.gateway import leadership
 from aspenfold._internal.gateway import plan as plan_module
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import roster
@@ -281,7 +281,7 @@
     plans = await store.newest(platform.plan_topic)
     listings = await store.newest(platform.endpoint_topic)
     hosts = await store.newest(roster.TOPIC)
-    lease = await store.newest(maps_duty.TOPIC)
+    lease = await store.newest(leadership.TOPIC)
     return {
         'plan': [
             {'offset': v.offset, **_summary(v.plan)}
--- a/src/aspenfold/_internal/gateway/list_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -10,9 +10,9 @@
 
 from aspenfold._internal.gateway import directory as directory_module
 from aspenfold._internal.gateway import ports
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import source as source_module
-from aspenfold._internal.gateway import store_state
+from aspenfold._internal.gateway import store_health
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
@@ -36,8 +36,8 @@
         platform: ports.Platform,
         directory: directory_module.Directory,
         clock: clock_module.Clock,
-        source: source_module.Source,
-        state: store_state.StoreState,
+        source: selection_module.Source,
+        state: store_health.StoreState,
         publish: abc.Callable[[relay.News | None], None],
     ) -> None:
         """``publish`` passes on what was read here."""
@@ -63,8 +63,8 @@
         while True:
             self.settle()
             pace = self._source.pace(self._clock.now())
-            if pace is source_module.Pace.NONE:
-                await asyncio.sleep(store_state.REST_S)
+            if pace is selection_module.Pace.NONE:
+                await asyncio.sleep(store_health.REST_S)
                 continue
             wait = LIST_INTERVAL
             try:
--- a/src/aspenfold/_internal/gateway/maps_duty.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -14,7 +14,7 @@
 from aspenfold._internal.gateway import plan as plan_module
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import rank_client
-from aspenfold._internal.leases import contest as contest_module
+from aspenfold._internal.leases import election as election_module
 from aspenfold._internal.observability import events
 
 TOPIC = 'keyed.aspenfold-lease'
@@ -71,7 +71,7 @@
         self._store = platform.store
         self._ranks = ranks_client
         self._rng = rng
-        self._contest = contest_module.Contest(
+        self._contest = election_module.Contest(
             name=f'{host}/{rng.getrandbits(NAME_BITS):08x}',
             host=host,
             rng=rng,
@@ -177,7 +177,7 @@
         self._follow_token()
         await self._lead()
 
-    async def _append(self, wish: contest_module.Wish) -> None:
+    async def _append(self, wish: election_module.Wish) -> None:
         record = {
             'holder': wish.holder,
             'host': wish.host,
@@ -185,7 +185,7 @@
         }
         value = orjson.dumps(record)
         offset = await self._store.append(TOPIC, KEY, value, wish.end)
-        grant = contest_module.Grant(
+        grant = election_module.Grant(
             holder=wish.holder,
             host=wish.host,
             token=wish.token,
@@ -221,7 +221,7 @@
         for record in page.records:
             if record.key == KEY and record.value:
                 found = orjson.loads(record.value)
-                grant = contest_module.Grant(
+                grant = election_module.Grant(
                     holder=found['holder'],
                     host=found['host'],
                     token=found['token'],
--- a/src/aspenfold/_internal/gateway/plan_feed.py
+++ b/src/aspenfold/_internal/gateway/plan_feed.py
@@ -7,9 +7,9 @@
 
 from aspenfold._internal.gateway import plan as plan_module
 from aspenfold._internal.gateway import ports
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import source as source_module
-from aspenfold._internal.gateway import store_state
+from aspenfold._internal.gateway import store_health
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
@@ -46,8 +46,8 @@
         platform: ports.Platform,
         adopter: Adopter,
         clock: clock_module.Clock,
-        source: source_module.Source,
-        state: store_state.StoreState,
+        source: selection_module.Source,
+        state: store_health.StoreState,
         publish: abc.Callable[[relay.News | None], None],
     ) -> None:
         """``publish`` passes on what was read here."""
@@ -68,7 +68,7 @@
         """Read the plan for ever."""
         while True:
             if self._rests():
-                await asyncio.sleep(store_state.REST_S)
+                await asyncio.sleep(store_health.REST_S)
                 continue
             try:
                 await self.once()
@@ -77,19 +77,21 @@
                 await self._until_answered()
 
     def _rests(self) -> bool:
-        if self._pace() is not source_module.Pace.FULL:
+        if self._pace() is not selection_module.Pace.FULL:
             return True
         # One that knows a plan may hear of a peer to follow.
         now = self._clock.now()
         return self._newest is not None and not self._source.settled(now)
 
-    def _pace(self) -> source_module.Pace:
+    def _pace(self) -> selection_module.Pace:
         return self._source.pace(self._clock.now())
 
     async def _until_answered(self) -> None:
         """Wait until the list's loop has found the store again."""
-        while self._state.lost and self._pace() is not source_module.Pace.NONE:
-            await asyncio.sleep(store_state.REST_S)
+        while (
+            self._state.lost and self._pace() is not selection_module.Pace.NONE
+        ):
+            await asyncio.sleep(store_health.REST_S)
 
     async def once(self) -> None:
         """Read the plan once, waiting for news if one is known."""
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -13,8 +13,8 @@
 
 from aspenfold._internal.gateway import peers as peers_module
 from aspenfold._internal.gateway import ports
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import settings
-from aspenfold._internal.gateway import source as source_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.network import http1_client
 from aspenfold._internal.network import http1_server
@@ -167,7 +167,7 @@
     def __init__(
         self,
         *,
-        source: source_module.Source,
+        source: selection_module.Source,
         peers: peers_module.Peers,
         clock: clock_module.Clock,
         take: abc.Callable[[News], None],
@@ -218,7 +218,7 @@
     ) -> None:
         """Take news while ``host`` is to be followed."""
         connection.send(b'GET', TARGET, [(b'host', host.encode())], b'')
-        limit = source_module.RELAY_LIMIT.total_seconds()
+        limit = selection_module.RELAY_LIMIT.total_seconds()
         async with asyncio.timeout(limit):
             head = await connection.head()
         if head.status_code != 200:
--- a/src/aspenfold/_internal/gateway/feeds.py
+++ b/src/aspenfold/_internal/gateway/store_feeds.py
@@ -5,13 +5,13 @@
 import typing
 
 from aspenfold._internal.gateway import directory as directory_module
-from aspenfold._internal.gateway import list_feed
+from aspenfold._internal.gateway import endpoint_feed
 from aspenfold._internal.gateway import plan as plan_module
 from aspenfold._internal.gateway import plan_feed
 from aspenfold._internal.gateway import ports
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import source as source_module
-from aspenfold._internal.gateway import store_state
+from aspenfold._internal.gateway import store_health
 from aspenfold._internal.kernel import clock as clock_module
 
 
@@ -33,12 +33,12 @@
         platform: ports.Platform,
         believer: Believer,
         clock: clock_module.Clock,
-        source: source_module.Source,
+        source: selection_module.Source,
         publish: abc.Callable[[relay.News | None], None],
     ) -> None:
         """``publish`` passes on what was read here."""
         self._platform = platform
-        self.state = store_state.StoreState(clock=clock, source=source)
+        self.state = store_health.StoreState(clock=clock, source=source)
         self.plan = plan_feed.PlanFeed(
             platform=platform,
             adopter=believer,
@@ -47,7 +47,7 @@
             state=self.state,
             publish=publish,
         )
-        self.list = list_feed.ListFeed(
+        self.list = endpoint_feed.ListFeed(
             platform=platform,
             directory=believer.directory,
             clock=clock,
--- a/src/aspenfold/_internal/gateway/store_state.py
+++ b/src/aspenfold/_internal/gateway/store_health.py
@@ -2,7 +2,7 @@
 
 import datetime
 
-from aspenfold._internal.gateway import source as source_module
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
@@ -22,7 +22,7 @@
     """What failed calls and a trimmed history mean for readings."""
 
     def __init__(
-        self, *, clock: clock_module.Clock, source: source_module.Source
+        self, *, clock: clock_module.Clock, source: selection_module.Source
     ) -> None:
         self._clock = clock
         self._source = source
--- a/src/aspenfold/_internal/leases/duties.py
+++ b/src/aspenfold/_internal/leases/leased_tasks.py
@@ -14,7 +14,7 @@
 from aspenfold._internal.expertmaps import planner
 from aspenfold._internal.expertmaps import sticky
 from aspenfold._internal.kernel import registry
-from aspenfold._internal.leases import keeper
+from aspenfold._internal.leases import lease_client
 from aspenfold._internal.models import fleet as fleet_model
 from aspenfold._internal.models import records
 
@@ -51,7 +51,7 @@
         self._name = name
         self._rng = rng
         self._interval = snapshot_interval
-        self._keeper = keeper.LeaseKeeper(holder=name)
+        self._keeper = lease_client.LeaseKeeper(holder=name)
         self._snapshot_offset = 0
         self._snapshot_at: datetime.datetime | None = None
         self._planned: dict[str, datetime.datetime] = {}
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -8,17 +8,17 @@
 from aspenfold._internal.gateway import core as core_module
 from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import exchange as exchange_module
-from aspenfold._internal.gateway import feeds as feeds_module
-from aspenfold._internal.gateway import group_watch
-from aspenfold._internal.gateway import maps_duty
+from aspenfold._internal.gateway import group_monitor
+from aspenfold._internal.gateway import leadership
 from aspenfold._internal.gateway import outage
 from aspenfold._internal.gateway import peers as peers_module
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import rank_client
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
 from aspenfold._internal.gateway import roster as roster_module
 from aspenfold._internal.gateway import settings
-from aspenfold._internal.gateway import source as source_module
+from aspenfold._internal.gateway import store_feeds as feeds_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.network import datagrams
 from aspenfold._internal.network import http1_server
@@ -61,7 +61,7 @@
             rng=random.Random(secrets.randbits(128)),
         )
         self._clock = clock
-        self._source = source_module.Source(
+        self._source = selection_module.Source(
             host=cfg.name, zone=cfg.availability_zone, now=clock.now()
         )
         self._publisher = relay.Publisher(
@@ -94,12 +94,12 @@
         ranks_client = rank_client.RankClient(
             engine=platform.engine, clock=clock, agent_port=cfg.agent_port
         )
-        self._groups = group_watch.GroupWatch(
+        self._groups = group_monitor.GroupWatch(
             core=self._core,
             ranks_client=ranks_client,
             rng=random.Random(secrets.randbits(128)),
         )
-        self._duty = maps_duty.MapsDuty(
+        self._duty = leadership.MapsDuty(
             host=cfg.name,
             core=self._core,
             platform=platform,
--- a/src/aspenfold/_internal/processes/gateway_metrics.py
+++ b/src/aspenfold/_internal/processes/gateway_metrics.py
@@ -4,10 +4,10 @@
 import typing
 
 from aspenfold._internal.gateway import core as core_module
-from aspenfold._internal.gateway import feeds as feeds_module
-from aspenfold._internal.gateway import maps_duty
+from aspenfold._internal.gateway import leadership
+from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import source as source_module
+from aspenfold._internal.gateway import store_feeds as feeds_module
 
 UNKNOWN_AGE = -1.0
 """Age of what was never learnt."""
@@ -17,9 +17,9 @@
     *,
     core: core_module.Core,
     feeds: feeds_module.Feeds,
-    source: source_module.Source,
+    source: selection_module.Source,
     publisher: relay.Publisher,
-    duty: maps_duty.MapsDuty,
+    duty: leadership.MapsDuty,
     in_flight: typing.Callable[[], int],
 ) -> None:
     """Add the gauges to the core's metrics; ages are in seconds."""
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -20,7 +20,7 @@
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
-from aspenfold._internal.leases import duties as duties_module
+from aspenfold._internal.leases import leased_tasks as leased_tasks_module
 from aspenfold._internal.models import hosts
 from aspenfold._internal.models import records
 from aspenfold._internal.models import settings
@@ -76,7 +76,7 @@
         self._host_list = host_list_client.HostListClient(
             base_url=cfg.platform.host_list.url
         )
-        self._duties = duties_module.Duties(
+        self._duties = leased_tasks_module.Duties(
             name=cfg.name,
             rng=rng,
             snapshot_interval=cfg.snapshot_interval_ms
--- a/tests/unit/test_files.py
+++ b/tests/unit/test_files.py
@@ -11,13 +11,13 @@
 from aspenfold._internal.commands import apply
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import registry
-from aspenfold._internal.leases import duties
+from aspenfold._internal.leases import leased_tasks
 from aspenfold._internal.models import fleet
 from aspenfold._internal.models import settings
 from aspenfold._internal import retries
 from aspenfold._internal import routing
 
-PLUGINS = (admission, duties, retries, routing)
+PLUGINS = (admission, leased_tasks, retries, routing)
 """Importing these registered their plug-ins."""
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
--- a/tests/unit/test_gateway_feeds.py
+++ b/tests/unit/test_gateway_feeds.py
@@ -5,11 +5,11 @@
 import typing
 
 from aspenfold._internal.gateway import directory
-from aspenfold._internal.gateway import feeds
 from aspenfold._internal.gateway import plan
 from aspenfold._internal.gateway import ports
+from aspenfold._internal.gateway import reader_selection
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import source
+from aspenfold._internal.gateway import store_feeds
 from aspenfold._internal.kernel import clock
 
 SECOND = datetime.timedelta(seconds=1)
@@ -86,9 +86,11 @@
             decode_listing=decode_listing,
             engine=None,  # type: ignore[arg-type]
         )
-        self.source = source.Source(host='g-2', zone='z', now=self.clock.now())
+        self.source = reader_selection.Source(
+            host='g-2', zone='z', now=self.clock.now()
+        )
         self.published: list[relay.News | None] = []
-        self.feeds = feeds.Feeds(
+        self.feeds = store_feeds.Feeds(
             platform=platform,
             believer=self.believer,
             clock=self.clock,
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -21,7 +21,7 @@
 from aspenfold._internal.gateway import settings
 from aspenfold._internal.gateway import table
 from aspenfold._internal.kernel import clock
-from aspenfold._internal.leases import contest
+from aspenfold._internal.leases import election
 from aspenfold._internal.models import fleet
 from aspenfold._internal.observability import output
 from aspenfold._internal.retries import shared
@@ -243,9 +243,9 @@
     """Let three processes contest a lease over a lossy store."""
     rng = random.Random(seed)
     now = clock.EPOCH
-    log: list[contest.Grant] = []
+    log: list[election.Grant] = []
     players = [
-        contest.Contest(name=f'p{i}', host=f'h{i}', rng=rng) for i in range(3)
+        election.Contest(name=f'p{i}', host=f'h{i}', rng=rng) for i in range(3)
     ]
     tokens: dict[int, str] = {}
     for _ in range(2000):
@@ -259,7 +259,7 @@
         if wish.end != len(log):
             player.conflicted(len(log))
             continue
-        grant = contest.Grant(
+        grant = election.Grant(
             holder=wish.holder,
             host=wish.host,
             token=wish.token,
@@ -283,12 +283,12 @@
 def test_a_restarted_process_takes_its_host_s_lease_at_once() -> None:
     """Nobody else can; a lapse would only cost time."""
     rng = random.Random(1)
-    player = contest.Contest(name='h/2', host='h', rng=rng)
-    other = contest.Contest(name='x/1', host='x', rng=rng)
-    grant = contest.Grant(holder='h/1', host='h', token=4, offset=9)
+    player = election.Contest(name='h/2', host='h', rng=rng)
+    other = election.Contest(name='x/1', host='x', rng=rng)
+    grant = election.Grant(holder='h/1', host='h', token=4, offset=9)
     for one in (player, other):
         one.read(grant, 10, clock.EPOCH)
-    soon = clock.EPOCH + contest.JITTER
+    soon = clock.EPOCH + election.JITTER
     assert other.wish(soon) is None
     wish = player.wish(soon)
     assert wish is not None
@@ -512,10 +512,10 @@
 def test_the_lease_of_a_holder_that_fell_silent_is_free() -> None:
     """Long before it lapses: a group that it holds stands still."""
     rng = random.Random(5)
-    player = contest.Contest(name='h/2', host='h', rng=rng)
-    grant = contest.Grant(holder='x/1', host='x', token=4, offset=3)
+    player = election.Contest(name='h/2', host='h', rng=rng)
+    grant = election.Grant(holder='x/1', host='x', token=4, offset=3)
     player.read(grant, 4, clock.EPOCH)
-    soon = clock.EPOCH + contest.JITTER
+    soon = clock.EPOCH + election.JITTER
     assert player.wish(soon) is None
     wish = player.wish(soon, silent=True)
     assert wish is not None
--- a/tests/unit/test_gateway_source.py
+++ b/tests/unit/test_gateway_source.py
@@ -2,25 +2,29 @@
 
 import datetime
 
-from aspenfold._internal.gateway import source
+from aspenfold._internal.gateway import reader_selection
 from aspenfold._internal.kernel import clock
 
 MS = datetime.timedelta(milliseconds=1)
 SECOND = datetime.timedelta(seconds=1)
 START = clock.EPOCH
-FULL, PROBE, NONE = source.Pace.FULL, source.Pace.PROBE, source.Pace.NONE
+FULL, PROBE, NONE = (
+    reader_selection.Pace.FULL,
+    reader_selection.Pace.PROBE,
+    reader_selection.Pace.NONE,
+)
 
 
-def reader(host: str = 'g-2') -> source.Source:
+def reader(host: str = 'g-2') -> reader_selection.Source:
     """Return a gateway of zone a that reads the store."""
-    found = source.Source(host=host, zone='a', now=START)
+    found = reader_selection.Source(host=host, zone='a', now=START)
     found.store_answered()
     return found
 
 
 def test_one_that_knows_nobody_reads() -> None:
     """Others may follow it once the store has answered."""
-    found = source.Source(host='g-2', zone='a', now=START)
+    found = reader_selection.Source(host='g-2', zone='a', now=START)
     assert found.pace(START) is FULL
     assert not found.reads(START)
     found.store_answered()
@@ -51,7 +55,7 @@
     """Not at a start, nor while the store or a peer's news is away."""
     found = reader()
     assert found.rests(START)
-    later = START + source.SETTLE_TIME
+    later = START + reader_selection.SETTLE_TIME
     assert not found.rests(later)
     found.store_failed(later)
     assert not found.rests(later)
@@ -69,12 +73,12 @@
     found = reader()
     found.heard('g-1', 'a', True, START)
     found.news('g-1', START)
-    later = START + source.RELAY_LIMIT + MS
+    later = START + reader_selection.RELAY_LIMIT + MS
     assert found.pace(later) is FULL
     found.dropped('g-1', later)
     found.heard('g-1', 'a', True, later)
     assert found.follows(later) == ''
-    after = later + source.DISTRUST
+    after = later + reader_selection.DISTRUST
     found.heard('g-1', 'a', True, after)
     assert found.follows(after) == 'g-1'
 
@@ -113,15 +117,15 @@
     """Its last word is too old."""
     found = reader()
     found.heard('g-1', 'a', True, START)
-    assert found.follows(START + source.HEARD_LIMIT + MS) == ''
+    assert found.follows(START + reader_selection.HEARD_LIMIT + MS) == ''
 
 
 def test_only_the_first_of_a_zone_asks_a_lost_store_quickly() -> None:
     """The others hear from it when the store is back."""
     found = reader('g-2')
     found.heard('h-1', 'b', False, START)
-    assert found.longest_retry(START) == source.QUICK_RETRY
+    assert found.longest_retry(START) == reader_selection.QUICK_RETRY
     found.heard('g-1', 'a', False, START)
-    assert found.longest_retry(START) == source.SLOW_RETRY
-    later = START + source.HEARD_LIMIT + MS
-    assert found.longest_retry(later) == source.QUICK_RETRY
+    assert found.longest_retry(START) == reader_selection.SLOW_RETRY
+    later = START + reader_selection.HEARD_LIMIT + MS
+    assert found.longest_retry(later) == reader_selection.QUICK_RETRY
--- a/tests/unit/test_group_watch.py
+++ b/tests/unit/test_group_watch.py
@@ -7,7 +7,7 @@
 
 from aspenfold._internal.expertmaps import ranks
 from aspenfold._internal.gateway import directory
-from aspenfold._internal.gateway import group_watch
+from aspenfold._internal.gateway import group_monitor
 from aspenfold._internal.gateway import outages
 from aspenfold._internal.kernel import clock as clock_module
 
@@ -72,7 +72,9 @@
     )
 
 
-def world(*groups: str) -> tuple[FakeCore, FakeRanks, group_watch.GroupWatch]:
+def world(
+    *groups: str,
+) -> tuple[FakeCore, FakeRanks, group_monitor.GroupWatch]:
     """Return a gateway that knows one rank of each group by name."""
     core, client = FakeCore(), FakeRanks()
     for number, group in enumerate(groups):
@@ -89,7 +91,7 @@
             )
         )
         client.reports[name] = report(group)
-    watch = group_watch.GroupWatch(
+    watch = group_monitor.GroupWatch(
         core=core,  # type: ignore[arg-type]
         ranks_client=client,  # type: ignore[arg-type]
         rng=random.Random(1),
@@ -97,7 +99,7 @@
     return core, client, watch
 
 
-def watch_for(watch: group_watch.GroupWatch, turns: int) -> None:
+def watch_for(watch: group_monitor.GroupWatch, turns: int) -> None:
     """Let the watch take some turns."""
 
     async def run() -> None:
