--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -281,7 +281,7 @@
     plans = await store.newest(platform.plan_topic)
     listings = await store.newest(platform.endpoint_topic)
     hosts = await store.newest(roster.TOPIC)
-    lease = await store.newest(leadership.TOPIC)
+    lease = await store.newest(leadership.LEASE_TOPIC)
     return {
         'plan': [
             {'offset': v.offset, **_summary(v.plan)}
--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -9,10 +9,10 @@
 from aspenfold._internal.gateway import rank_client
 from aspenfold._internal.gateway import sampling
 
-SAMPLE_INTERVAL = datetime.timedelta(milliseconds=500)
+PAID_POLL_INTERVAL = datetime.timedelta(milliseconds=500)
 """Pace of reading counts that are paid for, of one rank after the other."""
 
-HURRIED_INTERVAL = datetime.timedelta(milliseconds=250)
+FAST_PAID_POLL_INTERVAL = datetime.timedelta(milliseconds=250)
 """Their pace while the newest counts hint that demand has shifted."""
 
 
@@ -27,7 +27,7 @@
         self,
         *,
         ranks_client: rank_client.RankClient,
-        planner: map_planner.MapPlanner,
+        planner: map_planner.GroupMapPlanner,
         zone: str,
     ) -> None:
         """``zone`` is the leader's."""
@@ -36,12 +36,12 @@
         self._zone = zone
         self._turns = 0
         # Whether agents gave counts the last time.
-        self.free = False
+        self.agents_answered = False
         self._read_at: datetime.datetime | None = None
         self._whole_at: datetime.datetime | None = None
         self._reading: asyncio.Task[None] | None = None
 
-    def turn(
+    def poll(
         self,
         endpoints: abc.Mapping[int, directory.Endpoint],
         now: datetime.datetime,
@@ -62,7 +62,7 @@
         self._reading = asyncio.create_task(self._read(endpoints, whole))
         return True
 
-    def hurry(self) -> None:
+    def expedite(self) -> None:
         """Let the next turn be due at once."""
         self._read_at = None
 
@@ -74,18 +74,24 @@
     def _interval(
         self, endpoints: abc.Mapping[int, directory.Endpoint]
     ) -> datetime.timedelta:
-        if self.free:
+        if self.agents_answered:
             return sampling.interval(endpoints, self._zone)
-        return HURRIED_INTERVAL if self._planner.hurried else SAMPLE_INTERVAL
+        return (
+            FAST_PAID_POLL_INTERVAL
+            if self._planner.sample_fast
+            else PAID_POLL_INTERVAL
+        )
 
     async def _read(
         self, endpoints: abc.Mapping[int, directory.Endpoint], whole: bool
     ) -> None:
         """Read counts: those that cost nothing if there are any."""
-        self.free = await self._sample(endpoints, free=True, whole=whole)
-        if not self.free:
+        self.agents_answered = await self._sample(
+            endpoints, free=True, whole=whole
+        )
+        if not self.agents_answered:
             await self._sample(endpoints, free=False, whole=False)
-        self._planner.settle()
+        self._planner.update_estimate()
 
     async def _sample(
         self,
@@ -106,12 +112,15 @@
             whole=whole,
         )
         read = await asyncio.gather(
-            *(self._ranks.counts(endpoints[r], free=free) for r in chosen)
+            *(
+                self._ranks.counts(endpoints[r], agent_only=free)
+                for r in chosen
+            )
         )
         for rank, counts in zip(chosen, read, strict=True):
             if counts is None:
                 continue
-            self._planner.sample(rank, counts)
+            self._planner.add_counts(rank, counts)
             # Requests are answered between the samples.
             await asyncio.sleep(0)
         return any(counts is not None for counts in read)
--- a/src/aspenfold/_internal/gateway/endpoint_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -16,18 +16,18 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-LIST_INTERVAL = datetime.timedelta(milliseconds=900)
+POLL_INTERVAL = datetime.timedelta(milliseconds=900)
 """Pace of the list's reads.  An endpoint may be sent to for 2 s after
 its leaving was accepted; this leaves a second for a lost read."""
 
-RETRY_WAIT = datetime.timedelta(milliseconds=150)
+MIN_RETRY_DELAY = datetime.timedelta(milliseconds=150)
 """Wait after a failed call, doubled each time up to a limit."""
 
-MAX_REMEMBERED = 20_000
+MAX_REMEMBERED_OFFSETS = 20_000
 """Endpoints whose last offset is kept: over the 12,000 aimed for."""
 
 
-class ListFeed:
+class EndpointFeed:
     """Keeps the directory up to date while this gateway is to read."""
 
     def __init__(
@@ -36,17 +36,17 @@
         platform: ports.Platform,
         directory: directory_module.Directory,
         clock: clock_module.Clock,
-        source: selection_module.Source,
-        state: store_health.StoreState,
-        publish: abc.Callable[[relay.News | None], None],
+        selection: selection_module.ReaderSelection,
+        health: store_health.StoreHealth,
+        publish: abc.Callable[[relay.RelayedRecords | None], None],
     ) -> None:
         """``publish`` passes on what was read here."""
         self._platform = platform
         self._store = platform.store
         self._directory = directory
         self._clock = clock
-        self._source = source
-        self._state = state
+        self._selection = selection
+        self._health = health
         self._publish = publish
         self._next: int | None = None
         # The newest offset of each key, also of removed ones.
@@ -58,32 +58,34 @@
         self._failures = 0
         self._read_at: datetime.datetime | None = None
 
-    async def follow(self) -> None:
+    async def run(self) -> None:
         """Read the list for ever."""
         while True:
             self.settle()
-            pace = self._source.pace(self._clock.now())
-            if pace is selection_module.Pace.NONE:
-                await asyncio.sleep(store_health.REST_S)
+            pace = self._selection.read_mode(self._clock.now())
+            if pace is selection_module.ReadMode.NONE:
+                await asyncio.sleep(store_health.IDLE_POLL_INTERVAL_S)
                 continue
-            wait = LIST_INTERVAL
+            wait = POLL_INTERVAL
             try:
-                await self.once()
-                self.tell_changes()
+                await self.poll()
+                self.publish_changes()
             except ports.StoreUnavailable as exc:
-                self._state.failed('list', exc)
-                self._store.forget_connections()
-                limit = self._source.longest_retry(self._clock.now())
-                wait = min(limit, RETRY_WAIT * 2 ** min(self._failures, 5))
+                self._health.on_failure('list', exc)
+                self._store.reset_connections()
+                limit = self._selection.max_retry_delay(self._clock.now())
+                wait = min(
+                    limit, MIN_RETRY_DELAY * 2 ** min(self._failures, 5)
+                )
                 self._failures += 1
             await asyncio.sleep(wait.total_seconds())
 
     def age(self) -> datetime.timedelta | None:
         """Return the age of what is known of endpoints, None for none."""
-        known = [t for t in (self._read_at, self._source.news_at) if t]
+        known = [t for t in (self._read_at, self._selection.relayed_at) if t]
         return self._clock.now() - max(known) if known else None
 
-    def tell_changes(self) -> None:
+    def publish_changes(self) -> None:
         """Pass on what the reading brought, or that it brought nothing."""
         self._failures = 0
         self._read_at = self._clock.now()
@@ -93,7 +95,7 @@
             self._publish(None)
             return
         self._publish(
-            relay.News(
+            relay.RelayedRecords(
                 topic=self._platform.endpoint_topic,
                 end=self._next or 0,
                 records=tuple(changed),
@@ -101,10 +103,10 @@
             )
         )
 
-    async def once(self) -> None:
+    async def poll(self) -> None:
         """Read the list once: what is new, or all after a trim."""
         topic = self._platform.endpoint_topic
-        if self._next is None or self._state.checking():
+        if self._next is None or self._health.must_reread():
             self._take_all(await self._store.newest(topic))
             return
         try:
@@ -112,10 +114,10 @@
                 topic, self._next, datetime.timedelta(0)
             )
         except ports.HistoryTrimmed:
-            self._state.trimmed('list')
+            self._health.on_history_trimmed('list')
             self._take_all(await self._store.newest(topic))
             return
-        self._state.answered()
+        self._health.on_success()
         for record in page.records:
             self._take_listing(record)
         if page.records:
@@ -123,7 +125,7 @@
             self._next = max(self._next, last)
 
     def _take_all(self, page: ports.Page) -> None:
-        self._state.answered()
+        self._health.on_success()
         if self._next is not None and page.end < self._next:
             # An old reading: what it lacks may have come since.
             for record in page.records:
@@ -170,13 +172,13 @@
     def _remember(self, record: ports.Record) -> None:
         """Keep the offset, also of a removal: old readings may follow."""
         self._listed_at[record.key] = record.offset
-        if len(self._listed_at) > MAX_REMEMBERED:
+        if len(self._listed_at) > MAX_REMEMBERED_OFFSETS:
             oldest = min(self._listed_at, key=self._listed_at.__getitem__)
             del self._listed_at[oldest]
 
     def _remove(self, name: str, now: datetime.datetime) -> None:
         gone = self._directory.removed(
-            name, now, store_sound=self._state.sound(now)
+            name, now, store_sound=self._health.is_stable(now)
         )
         if gone:
             self._gone(name)
@@ -191,33 +193,35 @@
 
     def settle(self) -> None:
         """Forget endpoints that did not return with the store."""
-        if self._state.lost or self._state.failed_at is None:
+        if self._health.lost or self._health.failed_at is None:
             return
-        lost = self._directory.settle(self._clock.now(), self._state.failed_at)
+        lost = self._directory.settle(
+            self._clock.now(), self._health.failed_at
+        )
         for name in lost:
             self._gone(name)
 
     # -- peers -----------------------------------------------------------
 
-    def news(self) -> relay.News | None:
+    def snapshot(self) -> relay.RelayedRecords | None:
         """Return the whole list for a peer, None before the first."""
         if self._next is None:
             return None
-        return relay.News(
+        return relay.RelayedRecords(
             topic=self._platform.endpoint_topic,
             end=self._next,
             records=tuple(self._entries.values()),
             whole=True,
         )
 
-    def relayed(self, news: relay.News) -> None:
-        """Take what a peer has read; older news changes nothing."""
-        for record in news.records:
+    def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
+        """Take what a peer has read; older relayed changes nothing."""
+        for record in relayed.records:
             self._take_listing(record)
         known = self._next or 0
-        gone = news.absent
-        if news.whole and news.end >= known:
-            present = {record.key for record in news.records}
+        gone = relayed.absent
+        if relayed.whole and relayed.end >= known:
+            present = {record.key for record in relayed.records}
             names = self._directory.names()
             gone = tuple(name for name in names if name not in present)
         for name in gone:
@@ -226,7 +230,7 @@
                 name, self._clock.now(), store_sound=True
             ):
                 self._gone(name)
-        self._next = max(known, news.end)
+        self._next = max(known, relayed.end)
         # Only what is read here is passed on.
         self._changed.clear()
         self._absent.clear()
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -20,30 +20,30 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 """Pace of the switch's timers, half of its shortest, 40 ms."""
 
-PACE_INTERVAL = datetime.timedelta(seconds=2)
+SLOWDOWN_POLL_INTERVAL = datetime.timedelta(seconds=2)
 """How often all ranks are asked how fast they are: a rank that turns
 slow holds back all, and each asking costs a probe a rank."""
 
-FREE_PACE_INTERVAL = datetime.timedelta(milliseconds=500)
+AGENT_SLOWDOWN_POLL_INTERVAL = datetime.timedelta(milliseconds=500)
 """The same through agents, where asking costs next to nothing."""
 
-SLOW_PACE = 1.2
+MIN_REPORTED_SLOWDOWN = 1.2
 """A rank is told as slow from here; less is within a report's noise."""
 
-FIND_INTERVAL = datetime.timedelta(milliseconds=500)
+DISCOVERY_INTERVAL = datetime.timedelta(milliseconds=500)
 """Wait between two searches for the ranks of a broken group."""
 
-STANDING_INTERVAL = datetime.timedelta(seconds=1)
+OUTAGE_DISCOVERY_INTERVAL = datetime.timedelta(seconds=1)
 """The same while the group refuses requests, unless it is seen to run:
 each search costs a probe of every rank."""
 
-OPENED_INTERVAL = datetime.timedelta(milliseconds=100)
+RECOVERY_DISCOVERY_INTERVAL = datetime.timedelta(milliseconds=100)
 """The same when it was just seen to run: reports are 200 ms behind."""
 
-TOKENS_A_TERM = 1_000_000
+TOKENS_PER_TERM = 1_000_000
 """Rounds that one term may take; tokens of the next are all higher."""
 
 
@@ -68,7 +68,7 @@
         self._service = service
         self._group = group
         self._shape = shape
-        self._first_token = token * TOKENS_A_TERM
+        self._first_token = token * TOKENS_PER_TERM
         self._members = members
         self._ranks = ranks_client
         self._clock = clock
@@ -77,7 +77,7 @@
         self._endpoints: dict[int, directory.Endpoint] = {}
         self._map: ranks.Map = ()
         self._next_map: ranks.Map = ()
-        self._planner = map_planner.MapPlanner(
+        self._planner = map_planner.GroupMapPlanner(
             service=service, shape=shape, clock=clock
         )
         self._counts = count_reader.CountReader(
@@ -87,10 +87,10 @@
         self._paced_at: datetime.datetime | None = None
         self._told_state: switch_module.State | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self.ending = False
+        self.draining = False
         self._stopped = False
         self.fenced = False
-        self.changes = 0
+        self.map_changes = 0
 
     @property
     def skew(self) -> float:
@@ -98,7 +98,7 @@
         return self._planner.skew
 
     @property
-    def holds(self) -> bool:
+    def holds_group(self) -> bool:
         """Whether the group may stand until this leader goes on."""
         return self._switch is not None and self._switch.holds
 
@@ -117,7 +117,7 @@
                     await self._find_group()
                 else:
                     await self._turn(self._switch)
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(TICK_INTERVAL_S)
         finally:
             self._counts.cancel()
             for task in self._tasks:
@@ -153,11 +153,11 @@
     async def _wait_to_find(self) -> None:
         """Wait until another search for the ranks may find them."""
         if self._outage.lasts:
-            await self._outage.wait(STANDING_INTERVAL)
+            await self._outage.wait(OUTAGE_DISCOVERY_INTERVAL)
             return
-        wait = FIND_INTERVAL
+        wait = DISCOVERY_INTERVAL
         if self._outage.ended_lately(self._clock.now()) is not None:
-            wait = OPENED_INTERVAL
+            wait = RECOVERY_DISCOVERY_INTERVAL
         await asyncio.sleep(wait.total_seconds())
 
     async def _take_group(
@@ -171,7 +171,7 @@
         self._map = current
         self._endpoints = found
         # Demand may be known already: look at once whether a map pays.
-        self._counts.hurry()
+        self._counts.expedite()
         self._switch = switch_module.Switch(
             group=self._group,
             epoch=epoch,
@@ -237,9 +237,9 @@
         self, switch: switch_module.Switch, now: datetime.datetime
     ) -> None:
         """Sample demand, and begin a round where a new map pays."""
-        if not self._counts.turn(self._endpoints, now):
+        if not self._counts.poll(self._endpoints, now):
             return
-        if not switch.ready or self.ending:
+        if not switch.ready or self.draining:
             return
         if switch.version == switch.token and self._next_map:
             self._map = self._next_map
@@ -247,16 +247,20 @@
         self._perform(switch, self._asks(now))
         self._tell_paces()
         new_map = await self._planner.plan(self._map, self._pace_list())
-        if new_map is None or not switch.ready or self.ending:
+        if new_map is None or not switch.ready or self.draining:
             return
         self._next_map = new_map
-        self.changes += 1
+        self.map_changes += 1
         self._perform(switch, switch.start(new_map, self._clock.now()))
 
     def _asks(self, now: datetime.datetime) -> list[switch_module.Action]:
         """Ask the rank that may be held, and at times all for their pace."""
         last = self._paced_at
-        wait = FREE_PACE_INTERVAL if self._counts.free else PACE_INTERVAL
+        wait = (
+            AGENT_SLOWDOWN_POLL_INTERVAL
+            if self._counts.agents_answered
+            else SLOWDOWN_POLL_INTERVAL
+        )
         if last is not None and now - last < wait:
             return [switch_module.Ask(rank=switch_module.HOLDER)]
         self._paced_at = now
@@ -271,14 +275,14 @@
         # Leaders of other groups may tell theirs here, too.
         paces = {
             name: pace
-            for name, pace in self._peers.paces.items()
+            for name, pace in self._peers.slowdowns.items()
             if name not in own
         }
         for rank, pace in self._paces.items():
-            if pace >= SLOW_PACE and rank in self._endpoints:
+            if pace >= MIN_REPORTED_SLOWDOWN and rank in self._endpoints:
                 paces[self._endpoints[rank].name] = round(pace, 2)
-        if paces != self._peers.paces:
-            self._peers.paces = paces
+        if paces != self._peers.slowdowns:
+            self._peers.slowdowns = paces
             self._members.take_paces(paces)
             events.emit(
                 events.Event.RANKS_SLOW, group=self._group, paces=paces
--- a/src/aspenfold/_internal/gateway/group_monitor.py
+++ b/src/aspenfold/_internal/gateway/group_monitor.py
@@ -15,16 +15,16 @@
 from aspenfold._internal.gateway import rank_client
 from aspenfold._internal.observability import events
 
-TURN_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Pace of looking at groups that stand: well under the time by which a
 waiting request would be late, and some reports a second."""
 
-LEARN_AT_ONCE = 4
+MAX_LOOKUPS_PER_POLL = 4
 """Ranks that are asked for their group in one turn: those of 72 endpoints
 are known 2 s after a start, long before callers come."""
 
 
-class GroupWatch:
+class GroupMonitor:
     """Asks the agents of ranks, for one gateway."""
 
     def __init__(
@@ -41,25 +41,28 @@
     async def run(self) -> None:
         """Watch for ever."""
         while True:
-            await asyncio.sleep(TURN_S)
-            await self.turn()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            await self.poll()
 
-    async def turn(self) -> None:
+    async def poll(self) -> None:
         """Ask once for what is not known, and for what may have opened."""
         members = [
             endpoint
             for service in self._core.group_services()
             for endpoint in self._core.directory.of_service(service)
         ]
-        await self._learn([e for e in members if not e.group])
-        await self._look([e for e in members if e.group])
+        await self._find_groups([e for e in members if not e.group])
+        await self._check_recoveries([e for e in members if e.group])
 
-    async def _learn(self, unknown: list[directory.Endpoint]) -> None:
+    async def _find_groups(self, unknown: list[directory.Endpoint]) -> None:
         """Ask some ranks for their group."""
         self._rng.shuffle(unknown)
-        chosen = unknown[:LEARN_AT_ONCE]
+        chosen = unknown[:MAX_LOOKUPS_PER_POLL]
         reports = await asyncio.gather(
-            *(self._ranks.report(endpoint, free=True) for endpoint in chosen)
+            *(
+                self._ranks.report(endpoint, agent_only=True)
+                for endpoint in chosen
+            )
         )
         for endpoint, report in zip(chosen, reports, strict=True):
             if report is None:
@@ -72,7 +75,9 @@
                 rank=report.rank,
             )
 
-    async def _look(self, members: list[directory.Endpoint]) -> None:
+    async def _check_recoveries(
+        self, members: list[directory.Endpoint]
+    ) -> None:
         """Ask one rank of each standing group whether it is open."""
         self._rng.shuffle(members)
         by_group = {
@@ -81,7 +86,10 @@
             if self._core.outages.stands(e)
         }
         reports = await asyncio.gather(
-            *(self._ranks.report(e, free=True) for e in by_group.values())
+            *(
+                self._ranks.report(e, agent_only=True)
+                for e in by_group.values()
+            )
         )
         for (service, group), report in zip(by_group, reports, strict=True):
             if report is None or report.age > switch.FRESH_AGE:
--- a/src/aspenfold/_internal/gateway/leadership.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -17,37 +17,37 @@
 from aspenfold._internal.leases import election as election_module
 from aspenfold._internal.observability import events
 
-TOPIC = 'keyed.aspenfold-lease'
+LEASE_TOPIC = 'keyed.aspenfold-lease'
 """Our own topic in the store."""
 
-KEY = 'maps'
+LEASE_KEY = 'maps'
 
-FOLLOW_WAIT = datetime.timedelta(seconds=4)
+FOLLOWER_READ_TIMEOUT = datetime.timedelta(seconds=4)
 """Longest waiting read of those who do not lead."""
 
-NEWCOMER_WAIT = datetime.timedelta(milliseconds=500)
+STARTUP_READ_TIMEOUT = datetime.timedelta(milliseconds=500)
 """The same while it is not known yet whether a leader lives."""
 
-FAILED_WAIT = datetime.timedelta(milliseconds=700)
+RETRY_DELAY = datetime.timedelta(milliseconds=700)
 """Wait after a failed call; leading goes on without the store."""
 
-TURN = datetime.timedelta(milliseconds=200)
+POLL_INTERVAL = datetime.timedelta(milliseconds=200)
 """Pace at which a leader looks whether to renew, and for new groups."""
 
-NAME_BITS = 32
+PROCESS_ID_BITS = 32
 """Bits that tell a process from the one that ran on its host before."""
 
-FINISH_LIMIT = datetime.timedelta(seconds=2)
+DRAIN_TIMEOUT = datetime.timedelta(seconds=2)
 """Longest wait of an ending process for its round: one that goes well
 holds its group for some 0.1 s, one that is undone for 0.7 s."""
 
-FINISH_TICK = datetime.timedelta(milliseconds=20)
+DRAIN_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
 
 DISCOVERY_INTERVAL = datetime.timedelta(seconds=5)
 """Pace of the search for groups that are not led yet."""
 
 
-class MapsDuty:
+class GroupLeadership:
     """Contests the lease; leads each group while it is held."""
 
     def __init__(
@@ -59,20 +59,20 @@
         ranks_client: rank_client.RankClient,
         peers: peers_module.Peers,
         rng: random.Random,
-        rests: abc.Callable[[], bool],
+        is_passive: abc.Callable[[], bool],
     ) -> None:
         """``rests`` says whether a peer reads the store for this one.
 
         Such a process does not contest the lease: those that read do.
         """
-        self._rests = rests
+        self._is_passive = is_passive
         self._core = core
         self._peers = peers
         self._store = platform.store
         self._ranks = ranks_client
         self._rng = rng
-        self._contest = election_module.Contest(
-            name=f'{host}/{rng.getrandbits(NAME_BITS):08x}',
+        self._election = election_module.LeaseElection(
+            name=f'{host}/{rng.getrandbits(PROCESS_ID_BITS):08x}',
             host=host,
             rng=rng,
         )
@@ -80,20 +80,20 @@
             tuple[str, str], tuple[group_leader.GroupLeader, asyncio.Task]
         ] = {}
         self._led = 0
-        self._ending = False
+        self._draining = False
         # What the store has is not known, or may have changed.
         self._stale = True
         self._discovered_at: datetime.datetime | None = None
 
     @property
-    def leading(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this process leads."""
         return self._led != 0
 
     @property
-    def changes(self) -> int:
+    def map_changes(self) -> int:
         """Changes of map that were begun in this term."""
-        return sum(leader.changes for leader, _ in self._leaders.values())
+        return sum(leader.map_changes for leader, _ in self._leaders.values())
 
     @property
     def skew(self) -> float:
@@ -108,25 +108,25 @@
                 if self._shapes():
                     await self._turn()
                 else:
-                    await asyncio.sleep(TURN.total_seconds())
+                    await asyncio.sleep(POLL_INTERVAL.total_seconds())
         finally:
             self._stop_leading()
 
-    async def finish(self) -> None:
+    async def drain(self) -> None:
         """Begin no more rounds; return once no group is held for one.
 
         A leader that ended before would leave its group standing until
         another has taken over, and none can while the store is down.
         """
-        self._ending = True
+        self._draining = True
         for leader, _ in self._leaders.values():
-            leader.ending = True
-        limit = FINISH_LIMIT.total_seconds()
+            leader.draining = True
+        limit = DRAIN_TIMEOUT.total_seconds()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit):
-                while any(ld.holds for ld, _ in self._leaders.values()):
-                    await asyncio.sleep(FINISH_TICK.total_seconds())
-        held = [n for n, (ld, _) in self._leaders.items() if ld.holds]
+                while any(ld.holds_group for ld, _ in self._leaders.values()):
+                    await asyncio.sleep(DRAIN_POLL_INTERVAL.total_seconds())
+        held = [n for n, (ld, _) in self._leaders.items() if ld.holds_group]
         for service, group in held:
             events.emit(
                 events.Event.GROUP_LEFT_HELD, service=service, group=group
@@ -137,11 +137,11 @@
 
     async def release(self) -> None:
         """Give the lease up, so that another process leads at once."""
-        wish = self._contest.release()
+        request = self._election.release()
         self._stop_leading()
-        if wish is not None:
+        if request is not None:
             try:
-                await self._append(wish)
+                await self._append(request)
             except (ports.StoreUnavailable, ports.AppendConflict) as exc:
                 # It lapses by itself, which only takes longer.
                 self._tell_failure(exc)
@@ -150,78 +150,90 @@
 
     async def _turn(self) -> None:
         now = self._core.clock.now()
-        if not self._led and (self._peers.leader_heard(now) or self._rests()):
+        if not self._led and (
+            self._peers.is_leader_alive(now) or self._is_passive()
+        ):
             # What the store has is read again once it falls silent.
             self._stale = True
-            await asyncio.sleep(TURN.total_seconds())
+            await asyncio.sleep(POLL_INTERVAL.total_seconds())
             return
         try:
             if self._stale:
                 await self._read_newest()
-            silent = self._peers.leader_silent(now)
-            wish = self._contest.wish(now, silent=silent)
-            if wish is not None:
-                await self._append(wish)
-            elif self._contest.token:
-                await asyncio.sleep(TURN.total_seconds())
+            silent = self._peers.is_leader_lost(now)
+            request = self._election.next_append(now, holder_silent=silent)
+            if request is not None:
+                await self._append(request)
+            elif self._election.token:
+                await asyncio.sleep(POLL_INTERVAL.total_seconds())
             else:
                 await self._follow()
         except ports.AppendConflict as exc:
             # Another's record, or an own one whose answer was lost.
-            self._contest.conflicted(exc.end)
+            self._election.on_append_conflict(exc.end)
             self._stale = True
         except ports.StoreUnavailable as exc:
             self._stale = True
             self._tell_failure(exc)
-            await asyncio.sleep(FAILED_WAIT.total_seconds())
+            await asyncio.sleep(RETRY_DELAY.total_seconds())
         self._follow_token()
         await self._lead()
 
-    async def _append(self, wish: election_module.Wish) -> None:
+    async def _append(self, request: election_module.AppendRequest) -> None:
         record = {
-            'holder': wish.holder,
-            'host': wish.host,
-            'token': wish.token,
+            'holder': request.holder,
+            'host': request.host,
+            'token': request.token,
         }
         value = orjson.dumps(record)
-        offset = await self._store.append(TOPIC, KEY, value, wish.end)
-        grant = election_module.Grant(
-            holder=wish.holder,
-            host=wish.host,
-            token=wish.token,
+        offset = await self._store.append(
+            LEASE_TOPIC, LEASE_KEY, value, request.expected_offset
+        )
+        grant = election_module.LeaseRecord(
+            holder=request.holder,
+            host=request.host,
+            token=request.token,
             offset=offset,
         )
-        self._contest.read(grant, offset + 1, self._core.clock.now())
+        self._election.on_read(grant, offset + 1, self._core.clock.now())
 
     async def _follow(self) -> None:
         now = self._core.clock.now()
-        silent = self._peers.leader_silent(now)
-        longest = NEWCOMER_WAIT if self._peers.newcomer(now) else FOLLOW_WAIT
-        wait = min(longest, self._contest.due_in(now, silent=silent))
+        silent = self._peers.is_leader_lost(now)
+        longest = (
+            STARTUP_READ_TIMEOUT
+            if self._peers.is_discovering_leader(now)
+            else FOLLOWER_READ_TIMEOUT
+        )
+        wait = min(
+            longest, self._election.next_append_in(now, holder_silent=silent)
+        )
         try:
-            page = await self._store.read(TOPIC, self._contest.end, wait)
+            page = await self._store.read(
+                LEASE_TOPIC, self._election.topic_end, wait
+            )
         except ports.HistoryTrimmed:
             self._stale = True
             return
         self._take(page)
 
     async def _read_newest(self) -> None:
-        self._take(await self._store.newest(TOPIC))
+        self._take(await self._store.newest(LEASE_TOPIC))
 
     def _tell_failure(self, exc: Exception) -> None:
         events.emit(
             events.Event.LEASE_UNSURE,
-            duty=KEY,
-            leads=self.leading,
+            duty=LEASE_KEY,
+            leads=self.is_leading,
             error=str(exc)[:200],
         )
 
     def _take(self, page: ports.Page) -> None:
         grant = None
         for record in page.records:
-            if record.key == KEY and record.value:
+            if record.key == LEASE_KEY and record.value:
                 found = orjson.loads(record.value)
-                grant = election_module.Grant(
+                grant = election_module.LeaseRecord(
                     holder=found['holder'],
                     host=found['host'],
                     token=found['token'],
@@ -230,11 +242,11 @@
         ends = [record.offset + 1 for record in page.records]
         end = max([*ends, page.end])
         self._stale = False
-        self._contest.read(grant, end, self._core.clock.now())
+        self._election.on_read(grant, end, self._core.clock.now())
 
     def _follow_token(self) -> None:
         """Begin or end to lead as the lease says."""
-        token = self._contest.token
+        token = self._election.token
         if token == self._led:
             return
         self._stop_leading()
@@ -243,7 +255,7 @@
         self._discovered_at = None
         events.emit(
             events.Event.LEADERSHIP,
-            duty=KEY,
+            duty=LEASE_KEY,
             leads=token != 0,
             token=token,
         )
@@ -264,7 +276,7 @@
         if not self._led:
             return
         if any(leader.fenced for leader, _ in self._leaders.values()):
-            self._contest.step_down()
+            self._election.step_down()
             self._follow_token()
             return
         now = self._core.clock.now()
@@ -302,7 +314,7 @@
             peers=self._peers,
             outage=self._core.outages.of(service, group),
         )
-        leader.ending = self._ending
+        leader.draining = self._draining
         task = asyncio.create_task(leader.run())
         self._leaders[service, group] = leader, task
 
--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -15,7 +15,7 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-HURRY_GAIN = 0.2
+FAST_SAMPLING_SKEW_GAIN = 0.2
 """Skew over the best that is known to be reached, from which on counts
 are read faster: the next plan is likely to pay."""
 
@@ -27,13 +27,13 @@
 """A stage must promise to lower the mean skew of the sets by this: its
 copies make passes 15 in 100 longer while they last."""
 
-STAGE_TIME = datetime.timedelta(milliseconds=450)
+MAX_STAGE_DURATION = datetime.timedelta(milliseconds=450)
 """Longest time of a stage's copies on one rank, if one expert takes less.
 Demand shifts every few seconds.  After a shift one copy a rank, in 0.4 s,
 lowers the mean skew from 3.2 to 1.35, and a second one to 1.18."""
 
 
-class MapPlanner:
+class GroupMapPlanner:
     """Follows one group's demand and plans its maps."""
 
     def __init__(
@@ -52,23 +52,23 @@
         # The skew at which the last stage that was planned did not pay.
         self._reached: float | None = None
         self._planned_at: datetime.datetime | None = None
-        self.hurried = False
+        self.sample_fast = False
         self.skew = 0.0
 
-    def sample(self, rank: int, counts: ranks.Counts) -> None:
+    def add_counts(self, rank: int, counts: ranks.Counts) -> None:
         """Take how often a rank's requests chose each expert."""
         self._demand.sample(rank, counts)
 
-    def settle(self) -> None:
+    def update_estimate(self) -> None:
         """Weigh what was sampled since the last time."""
         self._demand.settle(self._clock.now())
 
     async def plan(
-        self, current: ranks.Map, paces: abc.Sequence[float]
+        self, current: ranks.Map, slowdowns: abc.Sequence[float]
     ) -> ranks.Map | None:
         """Return a map that pays for its change, None if there is none.
 
-        ``current`` is the map in use, ``paces`` how much longer each rank
+        ``current`` is the map in use, ``slowdowns`` how much longer each rank
         takes for the same work.
         """
         loads = self._demand.loads()
@@ -76,14 +76,14 @@
             return None
         stage = staged.Stage(
             shape=planner.Shape(
-                ranks=len(paces),
+                ranks=len(slowdowns),
                 experts=self._shape.experts,
                 slots_per_rank=self._shape.slots_per_rank,
                 spare=self._shape.spare,
             ),
             loads=loads,
             current=[[list(held) for held in one] for one in current],
-            paces=paces,
+            paces=slowdowns,
             copies=self._copies,
         )
         self.skew = stage.skew()
@@ -122,14 +122,14 @@
         most = self._shape.spare * self._shape.sets
         if not self._shape.copy_time:
             return most
-        return min(most, max(1, STAGE_TIME // self._shape.copy_time))
+        return min(most, max(1, MAX_STAGE_DURATION // self._shape.copy_time))
 
     def _worth_planning(self) -> bool:
         """Return whether a stage may pay; set the pace of counts."""
         if self._reached is None or self._planned_at is None:
             return True
         gain = self.skew - self._reached
-        self.hurried = gain >= HURRY_GAIN
+        self.sample_fast = gain >= FAST_SAMPLING_SKEW_GAIN
         due = self._clock.now() - self._planned_at >= PLAN_INTERVAL
         return due or gain >= MIN_SKEW_GAIN
 
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -22,22 +22,22 @@
 from aspenfold._internal.gateway import settings
 from aspenfold._internal.kernel import clock as clock_module
 
-SILENCE_LIMIT = datetime.timedelta(seconds=2)
+PEER_TIMEOUT = datetime.timedelta(seconds=2)
 """A peer that was not heard for so long has nothing in flight, as far as
 choices go: twice the interval of its datagrams at rest."""
 
-REST_INTERVAL = datetime.timedelta(seconds=1)
+IDLE_INTERVAL = datetime.timedelta(seconds=1)
 """A datagram is sent this often also when nothing changes."""
 
-LEADING_INTERVAL = datetime.timedelta(milliseconds=200)
+LEADER_INTERVAL = datetime.timedelta(milliseconds=200)
 """The same for the gateway that leads: a group that it holds stands
 still if it falls silent."""
 
-LEADER_SILENCE = datetime.timedelta(milliseconds=800)
+LEADER_TIMEOUT = datetime.timedelta(milliseconds=800)
 """A leader that was not heard for so long is taken to be gone: three
 of its datagrams, and the time that one may be late."""
 
-NEWCOMER_SILENCE = datetime.timedelta(seconds=2)
+LEADER_DISCOVERY_DURATION = datetime.timedelta(seconds=2)
 """A process that has heard no leader for so long since its start takes
 it that none is left: leaders tell each 0.2 s all hosts that the roster
 has, and a new host is in it within about a second."""
@@ -50,25 +50,25 @@
 """Added for each peer of the own zone, which bounds the datagrams that one
 gateway sends there to 250 a second however many others there are."""
 
-INTERVAL_PER_FAR_PEER = datetime.timedelta(milliseconds=50)
+INTERVAL_PER_REMOTE_PEER = datetime.timedelta(milliseconds=50)
 """Added for each peer of another zone, which bounds the datagrams there to
 20 a second: bytes between zones are paid for, and requests go to other
 zones only where the own one is clearly fuller.  At 4 ms 32 gateways would
 send some 0.1 GB between zones in 45 s, by reckoning."""
 
-MAX_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 """Largest datagram, under the packet size of common networks."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class News:
+class PeerUpdate:
     """One gateway's datagram.
 
     ``counts`` is what it has in flight, by endpoint, ``plan_offset``
     the offset of the plan that it has in force, ``token`` its lease's if
-    it leads, else 0.  A leader tells the ``paces`` of slow endpoints.
-    ``reads`` says that it reads the store, so that others may follow it;
-    ``recovered`` how long ago services' groups were seen to run again.
+    it leads, else 0.  A leader tells the ``slowdowns`` of slow endpoints.
+    ``is_reader`` says that it reads the store itself;
+    ``recovery_ages`` how long ago services' groups were seen to run again.
     """
 
     host: str
@@ -77,14 +77,14 @@
     counts: dict[str, int]
     plan_offset: int
     token: int
-    paces: dict[str, float]
+    slowdowns: dict[str, float]
     zone: str
-    reads: bool
-    recovered: dict[str, datetime.timedelta]
+    is_reader: bool
+    recovery_ages: dict[str, datetime.timedelta]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Outgoing:
+class OutgoingUpdate:
     """A datagram that is due, and to whom."""
 
     data: bytes
@@ -96,13 +96,13 @@
     """What some peers were told last, and when."""
 
     at: datetime.datetime | None = None
-    news: tuple[object, ...] | None = None
+    update: tuple[object, ...] | None = None
     counts: dict[str, int] | None = None
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Peer:
-    news: News | None = None
+    update: PeerUpdate | None = None
     # None once it counts as silent.
     heard_at: datetime.datetime | None = None
     last_at: datetime.datetime | None = None
@@ -140,19 +140,19 @@
         self.rejected = 0
         self.plan_offset = -1
         self.token = 0
-        self.paces: dict[str, float] = {}
-        self.reads = False
-        self.recovered: dict[str, datetime.timedelta] = {}
+        self.slowdowns: dict[str, float] = {}
+        self.is_reader = False
+        self.recovery_ages: dict[str, datetime.timedelta] = {}
 
     def address(self, host: str) -> settings.TcpAddress | None:
         """Return where a peer listens, None if it is not known."""
         return self._addresses.get(host)
 
-    def known(self, ip: str) -> bool:
+    def is_peer_address(self, ip: str) -> bool:
         """Return whether an IP address is a gateway's."""
         return any(a.host == ip for a in self._addresses.values())
 
-    def roster(self, addresses: dict[str, settings.TcpAddress]) -> None:
+    def set_addresses(self, addresses: dict[str, settings.TcpAddress]) -> None:
         """Take the addresses of all gateways by their host's name."""
         self._told = True
         self._addresses = {
@@ -163,75 +163,79 @@
 
     # -- what others tell ------------------------------------------------
 
-    def heard(
+    def receive(
         self, data: bytes, sender: str, now: datetime.datetime
-    ) -> News | None:
+    ) -> PeerUpdate | None:
         """Take a datagram from the IP address ``sender``; return it if new."""
-        news = self._parse(data, sender)
-        if news is None:
+        update = self._parse(data, sender)
+        if update is None:
             self.rejected += 1
             return None
-        peer = self._peers.setdefault(news.host, _Peer())
-        last = peer.news
-        known = last is not None and last.incarnation == news.incarnation
-        if last is not None and known and news.number <= last.number:
+        peer = self._peers.setdefault(update.host, _Peer())
+        last = peer.update
+        known = last is not None and last.incarnation == update.incarnation
+        if last is not None and known and update.number <= last.number:
             return None
         peer.heard_at = peer.last_at = now
         self._count(last, -1)
-        self._count(news, 1)
-        peer.news = news
-        if news.token:
-            self._members.take_paces(news.paces)
-        return news
+        self._count(update, 1)
+        peer.update = update
+        if update.token:
+            self._members.take_paces(update.slowdowns)
+        return update
 
-    def leader_heard(self, now: datetime.datetime) -> bool:
+    def is_leader_alive(self, now: datetime.datetime) -> bool:
         """Return whether a peer that leads was heard a moment ago."""
         return any(
-            now - heard <= LEADER_SILENCE for heard in self._leaders_heard()
+            now - heard <= LEADER_TIMEOUT for heard in self._leaders_heard()
         )
 
-    def leader_silent(self, now: datetime.datetime) -> bool:
+    def is_leader_lost(self, now: datetime.datetime) -> bool:
         """Return whether no peer leads that could be heard.
 
         Either one led when it was heard last, a while ago, or none was
         heard since this process started: all may have ended at once.
         """
-        return not self.leader_heard(now) and not self.newcomer(now)
+        return not self.is_leader_alive(
+            now
+        ) and not self.is_discovering_leader(now)
 
-    def newcomer(self, now: datetime.datetime) -> bool:
+    def is_discovering_leader(self, now: datetime.datetime) -> bool:
         """Return whether a leader may be there that was not heard yet."""
-        if now - self._started_at >= NEWCOMER_SILENCE:
+        if now - self._started_at >= LEADER_DISCOVERY_DURATION:
             return False
         return next(self._leaders_heard(), None) is None
 
     def _leaders_heard(self) -> abc.Iterator[datetime.datetime]:
         for peer in self._peers.values():
-            if peer.news is None or not peer.news.token:
+            if peer.update is None or not peer.update.token:
                 continue
             if peer.last_at is not None:
                 yield peer.last_at
 
-    def _parse(self, data: bytes, sender: str) -> News | None:
+    def _parse(self, data: bytes, sender: str) -> PeerUpdate | None:
         try:
             host, incarnation, number, counts, *rest = orjson.loads(data)
             # Later versions may tell more, and earlier ones tell less.
-            offset, token, paces, zone, reads, *more = rest
-            recovered = more[0] if more else {}
+            offset, token, slowdowns, zone, is_reader, *more = rest
+            recovery_ages = more[0] if more else {}
             if not self._may_be(str(host), sender):
                 return None
-            return News(
+            return PeerUpdate(
                 host=str(host),
                 incarnation=str(incarnation),
                 number=int(number),
                 counts={str(k): max(0, int(v)) for k, v in counts.items()},
                 plan_offset=int(offset),
                 token=int(token),
-                paces={str(k): max(1.0, float(v)) for k, v in paces.items()},
+                slowdowns={
+                    str(k): max(1.0, float(v)) for k, v in slowdowns.items()
+                },
                 zone=str(zone),
-                reads=bool(reads),
-                recovered={
+                is_reader=bool(is_reader),
+                recovery_ages={
                     str(k): max(0, int(v)) * clock_module.MILLISECOND
-                    for k, v in recovered.items()
+                    for k, v in recovery_ages.items()
                 },
             )
         except (ValueError, TypeError, AttributeError):
@@ -248,10 +252,10 @@
         address = self._addresses.get(host)
         return address is not None and address.host == sender
 
-    def _count(self, news: News | None, sign: int) -> None:
-        if news is None:
+    def _count(self, update: PeerUpdate | None, sign: int) -> None:
+        if update is None:
             return
-        for name, count in news.counts.items():
+        for name, count in update.counts.items():
             self._add(name, sign * count)
 
     def _add(self, name: str, count: int) -> None:
@@ -259,32 +263,32 @@
         if endpoint is not None:
             endpoint.elsewhere = max(0, endpoint.elsewhere + count)
 
-    def forget_silent(self, now: datetime.datetime) -> None:
+    def expire_silent(self, now: datetime.datetime) -> None:
         """Leave out what peers told that are not heard any more."""
         for peer in self._peers.values():
             heard = peer.heard_at
-            if heard is None or now - heard <= SILENCE_LIMIT:
+            if heard is None or now - heard <= PEER_TIMEOUT:
                 continue
             peer.heard_at = None
-            self._count(peer.news, -1)
-            if peer.news is not None:
-                peer.news.counts = {}
+            self._count(peer.update, -1)
+            if peer.update is not None:
+                peer.update.counts = {}
 
     # -- what this gateway tells -----------------------------------------
 
-    def outgoing(self, now: datetime.datetime) -> Outgoing | None:
+    def next_update(self, now: datetime.datetime) -> OutgoingUpdate | None:
         """Return the datagram that is due now, None if none is.
 
         Peers of other zones are told of work in flight less often.
         """
         near, far = self._by_distance()
         counts = self._members.in_flight()
-        news = self._news()
+        update = self._update_fields()
         soon = MIN_INTERVAL + INTERVAL_PER_PEER * len(self._addresses)
         near_wait = MIN_INTERVAL + INTERVAL_PER_PEER * len(near)
-        far_wait = MIN_INTERVAL + INTERVAL_PER_FAR_PEER * len(far)
+        far_wait = MIN_INTERVAL + INTERVAL_PER_REMOTE_PEER * len(far)
         due: list[settings.TcpAddress] = []
-        sending = _Sent(at=now, news=news, counts=counts)
+        sending = _Sent(at=now, update=update, counts=counts)
         if near and self._is_due(self._near_sent, sending, soon, near_wait):
             due += near
             self._near_sent = sending
@@ -295,23 +299,24 @@
             return None
         self._number += 1
         ages = {
-            k: v // clock_module.MILLISECOND for k, v in self.recovered.items()
+            k: v // clock_module.MILLISECOND
+            for k, v in self.recovery_ages.items()
         }
         head = (self._host, self._incarnation, self._number, counts)
-        data = orjson.dumps([*head, *news[:-1], ages])
-        if len(data) > MAX_BYTES:
+        data = orjson.dumps([*head, *update[:-1], ages])
+        if len(data) > MAX_DATAGRAM_BYTES:
             return None
-        return Outgoing(data=data, addresses=due)
+        return OutgoingUpdate(data=data, addresses=due)
 
-    def _news(self) -> tuple[object, ...]:
+    def _update_fields(self) -> tuple[object, ...]:
         """Return what all peers are told soon after it changes."""
         return (
             self.plan_offset,
             self.token,
-            self.paces if self.token else {},
+            self.slowdowns if self.token else {},
             self._zone,
-            self.reads,
-            sorted(self.recovered),
+            self.is_reader,
+            sorted(self.recovery_ages),
         )
 
     def _by_distance(
@@ -322,7 +327,7 @@
         far: list[settings.TcpAddress] = []
         for host, address in self._addresses.items():
             peer = self._peers.get(host)
-            told = peer.news if peer is not None else None
+            told = peer.update if peer is not None else None
             is_far = told is not None and told.zone != self._zone
             (far if is_far else near).append(address)
         return near, far
@@ -331,14 +336,14 @@
         self,
         sent: _Sent,
         sending: _Sent,
-        news_wait: datetime.timedelta,
+        update_wait: datetime.timedelta,
         counts_wait: datetime.timedelta,
     ) -> bool:
         if sent.at is None or sending.at is None:
             return True
-        wait = LEADING_INTERVAL if self.token else REST_INTERVAL
+        wait = LEADER_INTERVAL if self.token else IDLE_INTERVAL
         if sent.counts != sending.counts:
             wait = min(wait, counts_wait)
-        if sent.news != sending.news:
-            wait = min(wait, news_wait)
+        if sent.update != sending.update:
+            wait = min(wait, update_wait)
         return sending.at - sent.at >= wait
--- a/src/aspenfold/_internal/gateway/plan_feed.py
+++ b/src/aspenfold/_internal/gateway/plan_feed.py
@@ -13,21 +13,21 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-PLAN_WAIT = datetime.timedelta(milliseconds=1_200)
+PLAN_READ_TIMEOUT = datetime.timedelta(milliseconds=1_200)
 """Longest waiting read of the plan.  A plan has to be in force 2 s after
 it was accepted, also if the answer to this read is lost: that shows
 after the 0.7 s that a call may take beyond its wait."""
 
-HINT_GRACE_S = 0.25
+HINT_GRACE_PERIOD_S = 0.25
 """How long a read goes on after a peer told of a newer plan: its own
 answer is mostly on the way."""
 
-CHECK_INTERVAL = datetime.timedelta(milliseconds=500)
+REREAD_INTERVAL = datetime.timedelta(milliseconds=500)
 """Pace of whole readings after the history was trimmed, since the
 store's readings may then be some seconds old."""
 
 
-class Adopter(typing.Protocol):
+class PlanConsumer(typing.Protocol):
     """Who puts plans in force."""
 
     def adopt(self, plan: plan_module.Plan) -> None:
@@ -44,19 +44,19 @@
         self,
         *,
         platform: ports.Platform,
-        adopter: Adopter,
+        consumer: PlanConsumer,
         clock: clock_module.Clock,
-        source: selection_module.Source,
-        state: store_health.StoreState,
-        publish: abc.Callable[[relay.News | None], None],
+        selection: selection_module.ReaderSelection,
+        health: store_health.StoreHealth,
+        publish: abc.Callable[[relay.RelayedRecords | None], None],
     ) -> None:
         """``publish`` passes on what was read here."""
         self._platform = platform
         self._store = platform.store
-        self._adopter = adopter
+        self._consumer = consumer
         self._clock = clock
-        self._source = source
-        self._state = state
+        self._selection = selection
+        self._health = health
         self._publish = publish
         self._next: int | None = None
         self._newest: ports.Record | None = None
@@ -64,51 +64,55 @@
         self._hinted = asyncio.Event()
         self.offset = -1
 
-    async def follow(self) -> None:
+    async def run(self) -> None:
         """Read the plan for ever."""
         while True:
             if self._rests():
-                await asyncio.sleep(store_health.REST_S)
+                await asyncio.sleep(store_health.IDLE_POLL_INTERVAL_S)
                 continue
             try:
-                await self.once()
+                await self.poll()
             except ports.StoreUnavailable as exc:
-                self._state.failed('plan', exc)
+                self._health.on_failure('plan', exc)
                 await self._until_answered()
 
     def _rests(self) -> bool:
-        if self._pace() is not selection_module.Pace.FULL:
+        if self._pace() is not selection_module.ReadMode.FULL:
             return True
         # One that knows a plan may hear of a peer to follow.
         now = self._clock.now()
-        return self._newest is not None and not self._source.settled(now)
+        return (
+            self._newest is not None
+            and not self._selection.has_discovered_peers(now)
+        )
 
-    def _pace(self) -> selection_module.Pace:
-        return self._source.pace(self._clock.now())
+    def _pace(self) -> selection_module.ReadMode:
+        return self._selection.read_mode(self._clock.now())
 
     async def _until_answered(self) -> None:
         """Wait until the list's loop has found the store again."""
         while (
-            self._state.lost and self._pace() is not selection_module.Pace.NONE
+            self._health.lost
+            and self._pace() is not selection_module.ReadMode.NONE
         ):
-            await asyncio.sleep(store_health.REST_S)
+            await asyncio.sleep(store_health.IDLE_POLL_INTERVAL_S)
 
-    async def once(self) -> None:
+    async def poll(self) -> None:
         """Read the plan once, waiting for news if one is known."""
         topic = self._platform.plan_topic
         if self._next is None:
             page = await self._store.newest(topic)
             self._take_page(page)
             return
-        wait = PLAN_WAIT
-        if self._state.checking():
-            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+        wait = PLAN_READ_TIMEOUT
+        if self._health.must_reread():
+            await asyncio.sleep(REREAD_INTERVAL.total_seconds())
             self._take_page(await self._store.newest(topic))
-            wait = CHECK_INTERVAL
+            wait = REREAD_INTERVAL
         try:
             news = await self._read(topic, self._next, wait)
         except ports.HistoryTrimmed:
-            self._state.trimmed('plan')
+            self._health.on_history_trimmed('plan')
             self._next = None
             return
         if news is not None:
@@ -134,21 +138,21 @@
 
     async def _hint_and_grace(self) -> None:
         await self._hinted.wait()
-        await asyncio.sleep(HINT_GRACE_S)
+        await asyncio.sleep(HINT_GRACE_PERIOD_S)
 
-    def hint(self, plan_offset: int) -> None:
+    def notify_offset(self, plan_offset: int) -> None:
         """A peer has read a plan at ``plan_offset``."""
         if plan_offset > self.offset:
             self._hinted_offset = max(self._hinted_offset, plan_offset)
             self._hinted.set()
 
     def _take_page(self, page: ports.Page) -> None:
-        self._state.answered()
+        self._health.on_success()
         before = self.offset
         ends = [r.offset + 1 for r in page.records] or [page.end]
         self._take(page.records, max(ends))
         if self.offset != before:
-            self._publish(self.news())
+            self._publish(self.snapshot())
 
     def _take(self, records: abc.Iterable[ports.Record], end: int) -> None:
         for record in records:
@@ -174,20 +178,20 @@
                 error=str(exc)[:200],
             )
             return
-        self._adopter.adopt(plan)
+        self._consumer.adopt(plan)
 
     # -- peers -----------------------------------------------------------
 
-    def news(self) -> relay.News | None:
+    def snapshot(self) -> relay.RelayedRecords | None:
         """Return the newest plan for a peer, None if there is none."""
         if self._newest is None:
             return None
-        return relay.News(
+        return relay.RelayedRecords(
             topic=self._platform.plan_topic,
             end=self._next or 0,
             records=(self._newest,),
         )
 
-    def relayed(self, news: relay.News) -> None:
+    def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
         """Take what a peer has read; an older plan changes nothing."""
-        self._take(news.records, news.end)
+        self._take(relayed.records, relayed.end)
--- a/src/aspenfold/_internal/gateway/ports.py
+++ b/src/aspenfold/_internal/gateway/ports.py
@@ -25,7 +25,7 @@
         self.first = first
 
 
-class EngineSilent(Exception):
+class EngineUnavailable(Exception):
     """An engine did not answer, or not what it should."""
 
 
@@ -82,14 +82,14 @@
     async def put(self, topic: str, key: str, value: bytes) -> int:
         """Append a record wherever the topic ends; return its offset."""
 
-    def forget_connections(self) -> None:
+    def reset_connections(self) -> None:
         """Give up calls in progress; the path to the store was cut."""
 
 
 class Engine(typing.Protocol):
     """Model engines, by the address of their endpoint.
 
-    :meth:`report` and :meth:`counts` raise :class:`EngineSilent`.
+    :meth:`report` and :meth:`counts` raise :class:`EngineUnavailable`.
     """
 
     async def report(self, host: str, port: int) -> ranks.Report:
@@ -115,7 +115,7 @@
     ) -> tuple[int, bytes]:
         """Return an answer's status and body; orders have a ``body``.
 
-        Raises :class:`EngineSilent`.
+        Raises :class:`EngineUnavailable`.
         """
 
 
--- a/src/aspenfold/_internal/gateway/rank_client.py
+++ b/src/aspenfold/_internal/gateway/rank_client.py
@@ -30,11 +30,11 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-AGENT_PAUSE = datetime.timedelta(seconds=2)
+AGENT_RETRY_DELAY = datetime.timedelta(seconds=2)
 """How long an agent that did not answer is passed over: a process that
 ended is back within about a second."""
 
-AGENT_ORDER_LIMIT = datetime.timedelta(milliseconds=100)
+AGENT_ORDER_TIMEOUT = datetime.timedelta(milliseconds=100)
 """How long an agent may take for an order, which takes it some 5 ms."""
 
 
@@ -79,13 +79,15 @@
         self._agents: dict[str, _Agent] = {}
 
     async def report(
-        self, endpoint: directory.Endpoint, *, free: bool = False
+        self, endpoint: directory.Endpoint, *, agent_only: bool = False
     ) -> ranks.Report | None:
         """Return a rank's report, None if it is silent.
 
-        ``free``: only through its agent.
+        ``agent_only``: only through its agent.
         """
-        asked = await self._ask(endpoint, self._engine.report, free=free)
+        asked = await self._ask(
+            endpoint, self._engine.report, agent_only=agent_only
+        )
         if asked is None:
             return None
         age = asked.took
@@ -94,13 +96,15 @@
         return dataclasses.replace(asked.answer, age=age)
 
     async def counts(
-        self, endpoint: directory.Endpoint, *, free: bool = False
+        self, endpoint: directory.Endpoint, *, agent_only: bool = False
     ) -> ranks.Counts | None:
         """Return a rank's counts, None if it is silent.
 
-        ``free``: only through its agent.
+        ``agent_only``: only through its agent.
         """
-        asked = await self._ask(endpoint, self._engine.counts, free=free)
+        asked = await self._ask(
+            endpoint, self._engine.counts, agent_only=agent_only
+        )
         return None if asked is None else asked.answer
 
     async def held(self, endpoint: directory.Endpoint) -> ranks.RankMap | None:
@@ -113,17 +117,17 @@
         endpoint: directory.Endpoint,
         question: abc.Callable[[str, int], abc.Awaitable[T]],
         *,
-        free: bool = False,
+        agent_only: bool = False,
     ) -> _Asked[T] | None:
         """Ask the rank's agent, then its engine; None if both are silent."""
         for address in self._addresses(endpoint):
             by_agent = address.port == self._agent_port
-            if free and not by_agent:
+            if agent_only and not by_agent:
                 return None
             asked_at = self._clock.now()
             try:
                 answer = await question(address.host, address.port)
-            except ports.EngineSilent as exc:
+            except ports.EngineUnavailable as exc:
                 self._silent(address, exc)
                 continue
             self._answered(address)
@@ -142,7 +146,7 @@
         if not by_agent:
             return await self._engine.order(direct.host, direct.port, order)
         try:
-            async with asyncio.timeout(AGENT_ORDER_LIMIT.total_seconds()):
+            async with asyncio.timeout(AGENT_ORDER_TIMEOUT.total_seconds()):
                 answer = await self._engine.order(
                     address.host, address.port, order
                 )
@@ -151,7 +155,7 @@
         if answer is ranks.Answer.NONE:
             # The agent's silence or its engine's: that cannot be told.
             known = self._agents.setdefault(address.host, _Agent())
-            known.orders_over_until = self._clock.now() + AGENT_PAUSE
+            known.orders_over_until = self._clock.now() + AGENT_RETRY_DELAY
         return answer
 
     # -- which way -------------------------------------------------------
@@ -184,7 +188,7 @@
         if address.port != self._agent_port:
             return
         known = self._agents.setdefault(address.host, _Agent())
-        known.passed_over_until = self._clock.now() + AGENT_PAUSE
+        known.passed_over_until = self._clock.now() + AGENT_RETRY_DELAY
         if known.answered:
             known.answered = False
             events.emit(
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -20,25 +20,25 @@
 from aspenfold._internal.network import http1_server
 from aspenfold._internal.observability import events
 
-TARGET = b'/news'
+REQUEST_TARGET = b'/news'
 
 CONNECT_TIMEOUT_S = 0.3
 """As for endpoints: the longest round trip between zones is 3 ms."""
 
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 """How often a follower looks whether it should follow, or another."""
 
-MAX_LINE = 8_388_608
+MAX_LINE_BYTES = 8_388_608
 """Bytes of one line: twice the largest plan that operators may write,
 4 MiB in the deployments known."""
 
-MAX_WAITING = 200
+MAX_QUEUED_LINES = 200
 """Lines that wait for one follower; one that falls further behind is
 cut off, and begins anew."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class News:
+class RelayedRecords:
     """What was learnt of one topic.
 
     ``records`` are those that changed, or if ``whole`` all that there
@@ -53,14 +53,14 @@
     whole: bool = False
 
 
-def encode(news: News) -> bytes:
+def encode(relayed: RelayedRecords) -> bytes:
     """Return a line; values are text.
 
     One that is not is spoilt here, and rejected by readers as it was by
     this one.
     """
-    records = [[r.offset, r.key, _text(r.value)] for r in news.records]
-    line = [news.topic, news.end, records, news.absent, news.whole]
+    records = [[r.offset, r.key, _text(r.value)] for r in relayed.records]
+    line = [relayed.topic, relayed.end, records, relayed.absent, relayed.whole]
     return orjson.dumps(line) + b'\n'
 
 
@@ -68,11 +68,11 @@
     return None if value is None else value.decode('utf-8', 'replace')
 
 
-def decode(line: bytes) -> News:
+def decode(line: bytes) -> RelayedRecords:
     """Return the news of a line; raises ``ValueError`` if it is none."""
     try:
         topic, end, records, absent, whole = orjson.loads(line)
-        return News(
+        return RelayedRecords(
             topic=str(topic),
             end=int(end),
             records=tuple(
@@ -96,7 +96,7 @@
     def __init__(
         self,
         *,
-        snapshot: abc.Callable[[], list[News]],
+        snapshot: abc.Callable[[], list[RelayedRecords]],
         reads: abc.Callable[[], bool],
         known: abc.Callable[[str], bool],
     ) -> None:
@@ -111,11 +111,11 @@
         """How many gateways follow this one."""
         return len(self._queues)
 
-    def publish(self, news: News | None) -> None:
-        """Pass news on; None says that there is none."""
+    def publish(self, relayed: RelayedRecords | None) -> None:
+        """Pass relayed on; None says that there is none."""
         if not self._queues:
             return
-        line = b'\n' if news is None else encode(news)
+        line = b'\n' if relayed is None else encode(relayed)
         for queue in list(self._queues):
             try:
                 queue.put_nowait(line)
@@ -127,13 +127,13 @@
         self, request: http1_server.Request, answer: http1_server.Answer
     ) -> None:
         """Answer a follower until it leaves or this one stops reading."""
-        if request.target != TARGET or not self._known(request.sender):
+        if request.target != REQUEST_TARGET or not self._known(request.sender):
             self._refuse(answer, 404)
             return
         if not self._reads():
             self._refuse(answer, 503)
             return
-        queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_WAITING)
+        queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_LINES)
         self._queues.add(queue)
         try:
             answer.start(200, [])
@@ -149,7 +149,7 @@
         self, queue: asyncio.Queue[bytes], answer: http1_server.Answer
     ) -> None:
         try:
-            async with asyncio.timeout(POLL_S):
+            async with asyncio.timeout(POLL_INTERVAL_S):
                 line = await queue.get()
         except TimeoutError:
             return
@@ -167,15 +167,15 @@
     def __init__(
         self,
         *,
-        source: selection_module.Source,
+        selection: selection_module.ReaderSelection,
         peers: peers_module.Peers,
         clock: clock_module.Clock,
-        take: abc.Callable[[News], None],
+        take: abc.Callable[[RelayedRecords], None],
         local_host: str,
     ) -> None:
         """Peers know this gateway by the IP address ``local_host``."""
         self._local_host = local_host
-        self._source = source
+        self._selection = selection
         self._peers = peers
         self._clock = clock
         self._take = take
@@ -183,10 +183,10 @@
     async def run(self) -> None:
         """Follow whoever is to be followed."""
         while True:
-            host = self._source.follows(self._clock.now())
+            host = self._selection.reader_to_follow(self._clock.now())
             address = self._peers.address(host) if host else None
             if address is None:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             try:
                 await self._connect_and_follow(host, address)
@@ -197,7 +197,7 @@
                 ValueError,
             ) as exc:
                 self._tell_end(host, str(exc) or 'no news in time')
-                self._source.dropped(host, self._clock.now())
+                self._selection.on_relay_failed(host, self._clock.now())
 
     async def _connect_and_follow(
         self, host: str, address: settings.TcpAddress
@@ -217,29 +217,31 @@
         self, host: str, connection: http1_client.Connection
     ) -> None:
         """Take news while ``host`` is to be followed."""
-        connection.send(b'GET', TARGET, [(b'host', host.encode())], b'')
-        limit = selection_module.RELAY_LIMIT.total_seconds()
+        connection.send(
+            b'GET', REQUEST_TARGET, [(b'host', host.encode())], b''
+        )
+        limit = selection_module.RELAY_TIMEOUT.total_seconds()
         async with asyncio.timeout(limit):
             head = await connection.head()
         if head.status_code != 200:
             self._tell_end(host, f'it answered {head.status_code}')
-            self._source.ended(host)
+            self._selection.on_reader_stopped(host)
             return
         events.emit(events.Event.NEWS_FOLLOWED, peer=host)
         rest = b''
-        while self._source.follows(self._clock.now()) == host:
+        while self._selection.reader_to_follow(self._clock.now()) == host:
             async with asyncio.timeout(limit):
                 data = await connection.data()
             if data is None:
                 self._tell_end(host, 'it reads no more')
-                self._source.ended(host)
+                self._selection.on_reader_stopped(host)
                 return
             rest = self._take_lines(host, rest + data)
         self._tell_end(host, 'another goes before it')
-        self._source.left(host)
+        self._selection.stop_following(host)
 
     def _tell_end(self, host: str, reason: str) -> None:
-        last = self._source.news_at
+        last = self._selection.relayed_at
         age = None if last is None else self._clock.now() - last
         events.emit(
             events.Event.NEWS_LOST,
@@ -250,11 +252,11 @@
 
     def _take_lines(self, host: str, data: bytes) -> bytes:
         *lines, rest = data.split(b'\n')
-        if len(rest) > MAX_LINE:
+        if len(rest) > MAX_LINE_BYTES:
             raise ValueError('a line is too long')
         for line in lines:
             if line:
                 self._take(decode(line))
         if lines:
-            self._source.news(host, self._clock.now())
+            self._selection.on_relayed(host, self._clock.now())
         return rest
--- a/src/aspenfold/_internal/gateway/roster.py
+++ b/src/aspenfold/_internal/gateway/roster.py
@@ -39,7 +39,7 @@
         store: ports.Store,
         peers: peers_module.Peers,
         rests: abc.Callable[[], bool],
-        publish: abc.Callable[[relay.News], None],
+        publish: abc.Callable[[relay.RelayedRecords], None],
     ) -> None:
         """``rests`` says whether a peer gives the news."""
         self._rests = rests
@@ -83,7 +83,7 @@
         if page.records:
             self._publish(self._news(page.records))
 
-    def snapshot(self) -> relay.News:
+    def snapshot(self) -> relay.RelayedRecords:
         """Return all that is known, for a peer that begins to follow."""
         records = tuple(
             ports.Record(offset=0, key=host, value=str(address).encode())
@@ -91,10 +91,12 @@
         )
         return self._news(records)
 
-    def _news(self, records: tuple[ports.Record, ...]) -> relay.News:
-        return relay.News(topic=TOPIC, end=self._end or 0, records=records)
+    def _news(self, records: tuple[ports.Record, ...]) -> relay.RelayedRecords:
+        return relay.RelayedRecords(
+            topic=TOPIC, end=self._end or 0, records=records
+        )
 
-    def relayed(self, news: relay.News) -> None:
+    def relayed(self, news: relay.RelayedRecords) -> None:
         """Take what a peer has read."""
         if news.topic == TOPIC and news.end >= (self._end or 0):
             page = ports.Page(records=news.records, end=news.end)
@@ -109,7 +111,7 @@
                 self._known[record.key] = address
         ends = [record.offset + 1 for record in page.records]
         self._end = max([*ends, page.end, self._end or 0])
-        self._peers.roster(dict(self._known))
+        self._peers.set_addresses(dict(self._known))
 
 
 def _parse(value: bytes | None) -> settings.TcpAddress | None:
--- a/src/aspenfold/_internal/gateway/store_feeds.py
+++ b/src/aspenfold/_internal/gateway/store_feeds.py
@@ -15,7 +15,7 @@
 from aspenfold._internal.kernel import clock as clock_module
 
 
-class Believer(typing.Protocol):
+class FeedConsumer(typing.Protocol):
     """Who acts on what the feeds learn."""
 
     directory: directory_module.Directory
@@ -24,50 +24,52 @@
         """Put a plan in force if it is newer."""
 
 
-class Feeds:
+class StoreFeeds:
     """The plan's feed and the list's, which share what they see."""
 
     def __init__(
         self,
         *,
         platform: ports.Platform,
-        believer: Believer,
+        consumer: FeedConsumer,
         clock: clock_module.Clock,
-        source: selection_module.Source,
-        publish: abc.Callable[[relay.News | None], None],
+        selection: selection_module.ReaderSelection,
+        publish: abc.Callable[[relay.RelayedRecords | None], None],
     ) -> None:
         """``publish`` passes on what was read here."""
         self._platform = platform
-        self.state = store_health.StoreState(clock=clock, source=source)
+        self.health = store_health.StoreHealth(
+            clock=clock, selection=selection
+        )
         self.plan = plan_feed.PlanFeed(
             platform=platform,
-            adopter=believer,
+            consumer=consumer,
             clock=clock,
-            source=source,
-            state=self.state,
+            selection=selection,
+            health=self.health,
             publish=publish,
         )
-        self.list = endpoint_feed.ListFeed(
+        self.endpoints = endpoint_feed.EndpointFeed(
             platform=platform,
-            directory=believer.directory,
+            directory=consumer.directory,
             clock=clock,
-            source=source,
-            state=self.state,
+            selection=selection,
+            health=self.health,
             publish=publish,
         )
 
-    def list_age(self) -> datetime.timedelta | None:
+    def endpoints_age(self) -> datetime.timedelta | None:
         """Return the age of what is known of endpoints, None for none."""
-        return self.list.age()
+        return self.endpoints.age()
 
-    def snapshot(self) -> list[relay.News]:
+    def snapshot(self) -> list[relay.RelayedRecords]:
         """Return all that is known, for a peer that begins to follow."""
-        found = (self.plan.news(), self.list.news())
+        found = (self.plan.snapshot(), self.endpoints.snapshot())
         return [news for news in found if news is not None]
 
-    def relayed(self, news: relay.News) -> None:
+    def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
         """Take what a peer has read; older news changes nothing."""
-        if news.topic == self._platform.plan_topic:
-            self.plan.relayed(news)
-        elif news.topic == self._platform.endpoint_topic:
-            self.list.relayed(news)
+        if relayed.topic == self._platform.plan_topic:
+            self.plan.apply_relayed(relayed)
+        elif relayed.topic == self._platform.endpoint_topic:
+            self.endpoints.apply_relayed(relayed)
--- a/src/aspenfold/_internal/leases/lease_client.py
+++ b/src/aspenfold/_internal/leases/lease_client.py
@@ -12,7 +12,7 @@
 from aspenfold._internal.models import records
 
 
-class LeaseKeeper:
+class LeaseClient:
     """Watches grants and asks for leases that are free or lapsed."""
 
     def __init__(self, *, holder: str) -> None:
@@ -20,7 +20,7 @@
         self._seen: dict[str, tuple[int, datetime.datetime]] = {}
         self._asked: dict[str, datetime.datetime] = {}
 
-    def held(self, state: state_module.FleetState, name: str) -> int:
+    def held_token(self, state: state_module.FleetState, name: str) -> int:
         """Return the token if this process was last granted ``name``."""
         lease = state.leases.get(name)
         if lease is None or lease.holder != self._holder:
--- a/src/aspenfold/_internal/leases/leased_tasks.py
+++ b/src/aspenfold/_internal/leases/leased_tasks.py
@@ -20,25 +20,25 @@
 
 LEASE_TTL = datetime.timedelta(seconds=3)
 
-SNAPSHOT_EVERY = 200
+RECORDS_PER_SNAPSHOT = 200
 """Records between two snapshots."""
 
 PLAN_INTERVAL = datetime.timedelta(seconds=10)
 """Least time between two plans of a group by one planner."""
 
-HYSTERESIS = 1.02
+SKEW_HYSTERESIS_RATIO = 1.02
 """How far over its bound skew must be before a new plan is made."""
 
 PLUGINS = (descent, sticky)
 """Importing this module registered its planners."""
 
-RETRY = datetime.timedelta(seconds=1)
+REWRITE_DELAY = datetime.timedelta(seconds=1)
 """Wait for an own record to be folded before it is written again."""
 
-ID_BITS = 96
+RECORD_ID_BITS = 96
 
 
-class Duties:
+class LeasedTasks:
     """Decides which records this entry writes on its own account."""
 
     def __init__(
@@ -51,13 +51,13 @@
         self._name = name
         self._rng = rng
         self._interval = snapshot_interval
-        self._keeper = lease_client.LeaseKeeper(holder=name)
+        self._lease_client = lease_client.LeaseClient(holder=name)
         self._snapshot_offset = 0
         self._snapshot_at: datetime.datetime | None = None
         self._planned: dict[str, datetime.datetime] = {}
         self._wrote: dict[str, datetime.datetime] = {}
 
-    def snapshot_seen(self, offset: int, now: datetime.datetime) -> None:
+    def on_snapshot(self, offset: int, now: datetime.datetime) -> None:
         """A snapshot stands at ``offset``."""
         self._snapshot_offset = offset
         self._snapshot_at = now
@@ -100,7 +100,7 @@
         if not reason:
             return None
         lease = fold.MAP_LEASE + group.name
-        token = self._keeper.held(state, lease)
+        token = self._lease_client.held_token(state, lease)
         if not token:
             return self._ask(state, lease, now)
         if not self._due(lease, now):
@@ -134,7 +134,7 @@
         if planned is not None and now < planned + PLAN_INTERVAL:
             return ''
         skew = planner.skew(current, load)
-        if skew <= group.price.skew_bound * HYSTERESIS:
+        if skew <= group.price.skew_bound * SKEW_HYSTERESIS_RATIO:
             return ''
         return f'skew {skew:.3f} is over {group.price.skew_bound}'
 
@@ -143,10 +143,12 @@
     ) -> records.Record | None:
         if self._snapshot_at is None:
             self._snapshot_at = now
-        fresh = state.next_offset - self._snapshot_offset < SNAPSHOT_EVERY
+        fresh = (
+            state.next_offset - self._snapshot_offset < RECORDS_PER_SNAPSHOT
+        )
         if fresh and now < self._snapshot_at + self._interval:
             return None
-        token = self._keeper.held(state, fold.SNAPSHOT_LEASE)
+        token = self._lease_client.held_token(state, fold.SNAPSHOT_LEASE)
         if not token:
             return self._ask(state, fold.SNAPSHOT_LEASE, now)
         if not self._due(fold.SNAPSHOT_LEASE, now):
@@ -166,19 +168,19 @@
         lease: str,
         now: datetime.datetime,
     ) -> records.Record | None:
-        return self._keeper.request(
+        return self._lease_client.request(
             state, lease, LEASE_TTL, self._new_id(), now
         )
 
     def _due(self, name: str, now: datetime.datetime) -> bool:
         wrote = self._wrote.get(name)
-        if wrote is not None and now < wrote + RETRY:
+        if wrote is not None and now < wrote + REWRITE_DELAY:
             return False
         self._wrote[name] = now
         return True
 
     def _new_id(self) -> str:
-        return f'{self._rng.getrandbits(ID_BITS):024x}'
+        return f'{self._rng.getrandbits(RECORD_ID_BITS):024x}'
 
 
 def plan(
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import exchange as exchange_module
 from aspenfold._internal.gateway import group_monitor
-from aspenfold._internal.gateway import leadership
+from aspenfold._internal.gateway import leadership as leadership_module
 from aspenfold._internal.gateway import outage
 from aspenfold._internal.gateway import peers as peers_module
 from aspenfold._internal.gateway import ports
@@ -61,19 +61,19 @@
             rng=random.Random(secrets.randbits(128)),
         )
         self._clock = clock
-        self._source = selection_module.Source(
+        self._selection = selection_module.ReaderSelection(
             host=cfg.name, zone=cfg.availability_zone, now=clock.now()
         )
         self._publisher = relay.Publisher(
             snapshot=self._snapshot,
-            reads=lambda: self._source.reads(clock.now()),
-            known=lambda ip: self._peers.known(ip),
+            reads=lambda: self._selection.is_reader(clock.now()),
+            known=lambda ip: self._peers.is_peer_address(ip),
         )
-        self._feeds = feeds_module.Feeds(
+        self._feeds = feeds_module.StoreFeeds(
             platform=platform,
-            believer=self._core,
+            consumer=self._core,
             clock=clock,
-            source=self._source,
+            selection=self._selection,
             publish=self._publisher.publish,
         )
         self._peers = peers_module.Peers(
@@ -85,7 +85,7 @@
             now=clock.now(),
         )
         self._follower = relay.Follower(
-            source=self._source,
+            selection=self._selection,
             peers=self._peers,
             clock=clock,
             take=self._take_news,
@@ -94,26 +94,26 @@
         ranks_client = rank_client.RankClient(
             engine=platform.engine, clock=clock, agent_port=cfg.agent_port
         )
-        self._groups = group_monitor.GroupWatch(
+        self._groups = group_monitor.GroupMonitor(
             core=self._core,
             ranks_client=ranks_client,
             rng=random.Random(secrets.randbits(128)),
         )
-        self._duty = leadership.MapsDuty(
+        self._leadership = leadership_module.GroupLeadership(
             host=cfg.name,
             core=self._core,
             platform=platform,
             ranks_client=ranks_client,
             peers=self._peers,
             rng=random.Random(secrets.randbits(128)),
-            rests=self._rests,
+            is_passive=self._is_passive,
         )
         self._roster = roster_module.Roster(
             host=cfg.name,
             address=settings.TcpAddress(host=cfg.address, port=cfg.peer_port),
             store=platform.store,
             peers=self._peers,
-            rests=self._rests,
+            rests=self._is_passive,
             publish=self._publisher.publish,
         )
         self._tasks = tasks.Tasks()
@@ -131,9 +131,9 @@
         gateway_metrics.register(
             core=self._core,
             feeds=self._feeds,
-            source=self._source,
+            selection=self._selection,
             publisher=self._publisher,
-            duty=self._duty,
+            leadership=self._leadership,
             in_flight=lambda: self._in_flight,
         )
 
@@ -163,13 +163,13 @@
 
     async def start(self) -> None:
         """Listen, and begin to learn the plan and the endpoints."""
-        self._tasks.spawn(self._feeds.plan.follow())
-        self._tasks.spawn(self._feeds.list.follow())
+        self._tasks.spawn(self._feeds.plan.run())
+        self._tasks.spawn(self._feeds.endpoints.run())
         self._tasks.spawn(self._roster.run())
         self._tasks.spawn(self._tell_peers())
         self._tasks.spawn(self._follower.run())
         self._tasks.spawn(self._groups.run())
-        self._leading = asyncio.create_task(self._duty.run())
+        self._leading = asyncio.create_task(self._leadership.run())
         callers, health = self._cfg.callers, self._cfg.health
         assert callers is not None
         assert health is not None
@@ -192,13 +192,15 @@
         """Exchange with the other gateways what is in flight."""
 
         def receive(data: bytes, sender: str) -> None:
-            news = self._peers.heard(data, sender, self._clock.now())
+            news = self._peers.receive(data, sender, self._clock.now())
             if news is None:
                 return
             now = self._clock.now()
-            self._source.heard(news.host, news.zone, news.reads, now)
-            self._feeds.plan.hint(news.plan_offset)
-            for group, age in news.recovered.items():
+            self._selection.on_peer_update(
+                news.host, news.zone, news.is_reader, now
+            )
+            self._feeds.plan.notify_offset(news.plan_offset)
+            for group, age in news.recovery_ages.items():
                 self._core.outages.told(group, age, news.host)
 
         socket = await datagrams.listen(
@@ -207,24 +209,24 @@
         while True:
             await asyncio.sleep(PEER_TICK_S)
             now = self._clock.now()
-            self._peers.forget_silent(now)
+            self._peers.expire_silent(now)
             self._peers.plan_offset = self._feeds.plan.offset
-            self._peers.reads = self._source.reads(now)
-            self._peers.recovered = self._core.outages.recovered()
-            due = self._peers.outgoing(now)
+            self._peers.is_reader = self._selection.is_reader(now)
+            self._peers.recovery_ages = self._core.outages.recovered()
+            due = self._peers.next_update(now)
             if due is None:
                 continue
             for address in due.addresses:
                 socket.send(due.data, address.host, address.port)
 
-    def _rests(self) -> bool:
-        return self._source.rests(self._clock.now())
+    def _is_passive(self) -> bool:
+        return self._selection.is_passive(self._clock.now())
 
-    def _snapshot(self) -> list[relay.News]:
+    def _snapshot(self) -> list[relay.RelayedRecords]:
         return [self._roster.snapshot(), *self._feeds.snapshot()]
 
-    def _take_news(self, news: relay.News) -> None:
-        self._feeds.relayed(news)
+    def _take_news(self, news: relay.RelayedRecords) -> None:
+        self._feeds.apply_relayed(news)
         self._roster.relayed(news)
 
     def _reload(self) -> None:
@@ -310,10 +312,10 @@
 
     async def _end_leading(self) -> None:
         """Leave no group held, then let another gateway lead."""
-        await self._duty.finish()
+        await self._leadership.drain()
         if self._leading is not None:
             self._leading.cancel()
-        await self._duty.release()
+        await self._leadership.release()
 
     async def drain(self) -> None:
         """Turn callers away, finish what runs, and end in time."""
--- a/src/aspenfold/_internal/processes/gateway_metrics.py
+++ b/src/aspenfold/_internal/processes/gateway_metrics.py
@@ -4,7 +4,7 @@
 import typing
 
 from aspenfold._internal.gateway import core as core_module
-from aspenfold._internal.gateway import leadership
+from aspenfold._internal.gateway import leadership as leadership_module
 from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
 from aspenfold._internal.gateway import store_feeds as feeds_module
@@ -16,10 +16,10 @@
 def register(
     *,
     core: core_module.Core,
-    feeds: feeds_module.Feeds,
-    source: selection_module.Source,
+    feeds: feeds_module.StoreFeeds,
+    selection: selection_module.ReaderSelection,
     publisher: relay.Publisher,
-    duty: leadership.MapsDuty,
+    leadership: leadership_module.GroupLeadership,
     in_flight: typing.Callable[[], int],
 ) -> None:
     """Add the gauges to the core's metrics; ages are in seconds."""
@@ -27,15 +27,15 @@
     gauge('in_flight', in_flight)
     gauge('plan_version', lambda: core.plan_version)
     gauge('plan_age_seconds', lambda: _seconds(core.plan_age()))
-    gauge('list_age_seconds', lambda: _seconds(feeds.list_age()))
+    gauge('list_age_seconds', lambda: _seconds(feeds.endpoints_age()))
     gauge('endpoints', lambda: len(core.directory))
-    gauge('reads_store', lambda: source.reads(core.clock.now()))
-    gauge('store_lost', lambda: source.lost)
+    gauge('reads_store', lambda: selection.is_reader(core.clock.now()))
+    gauge('store_lost', lambda: selection.store_lost)
     gauge('followers', lambda: publisher.followers)
     gauge('groups_standing', core.outages.standing)
-    gauge('leads_groups', lambda: duty.leading)
-    gauge('map_changes', lambda: duty.changes)
-    gauge('map_skew', lambda: duty.skew)
+    gauge('leads_groups', lambda: leadership.is_leading)
+    gauge('map_changes', lambda: leadership.map_changes)
+    gauge('map_skew', lambda: leadership.skew)
     gauge('retry_budget_left', core.least_budget)
 
 
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -76,7 +76,7 @@
         self._host_list = host_list_client.HostListClient(
             base_url=cfg.platform.host_list.url
         )
-        self._duties = leased_tasks_module.Duties(
+        self._leased_tasks = leased_tasks_module.LeasedTasks(
             name=cfg.name,
             rng=rng,
             snapshot_interval=cfg.snapshot_interval_ms
@@ -123,7 +123,7 @@
             offset = judged.record.offset
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
-                self._duties.snapshot_seen(offset, self._entry.clock.now())
+                self._leased_tasks.on_snapshot(offset, self._entry.clock.now())
             if judged.verdict is not fold.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
@@ -155,7 +155,7 @@
             reading = self._kernel.fleet_reader
             if not self._kernel.log_up or reading.recovering:
                 continue
-            for record in self._duties.tick(
+            for record in self._leased_tasks.tick(
                 reading.state, self._expert_loads(), self._entry.clock.now()
             ):
                 await self._append(record)
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -136,7 +136,7 @@
             status, body = await self._engine.forward(
                 engine.host, engine.port, request.target, request.body
             )
-        except ports.EngineSilent as exc:
+        except ports.EngineUnavailable as exc:
             self.silent += 1
             events.emit(
                 events.Event.ENGINE_SILENT,
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -98,12 +98,12 @@
         self._idle: dict[tuple[str, int], http1_client.Connection] = {}
 
     async def report(self, host: str, port: int) -> ranks.Report:
-        """Return a rank's report, or raise ``ports.EngineSilent``."""
+        """Return a rank's report, or raise ``ports.EngineUnavailable``."""
         body = await self._get(host, port, REPORT)
         try:
             found = _Report.model_validate_json(body)
         except pydantic.ValidationError as exc:
-            raise ports.EngineSilent(f'not a report: {exc}') from exc
+            raise ports.EngineUnavailable(f'not a report: {exc}') from exc
         armed = None
         if found.armed is not None:
             armed = ranks.Armed(
@@ -129,7 +129,7 @@
         try:
             found = _Counts.model_validate_json(body)
         except pydantic.ValidationError as exc:
-            raise ports.EngineSilent(f'not counts: {exc}') from exc
+            raise ports.EngineUnavailable(f'not counts: {exc}') from exc
         return ranks.Counts(epoch=found.epoch, counts=tuple(found.counts))
 
     async def held(self, host: str, port: int) -> ranks.RankMap:
@@ -138,7 +138,7 @@
         try:
             found = _Lists.model_validate_json(body).map
         except pydantic.ValidationError as exc:
-            raise ports.EngineSilent(f'not a map: {exc}') from exc
+            raise ports.EngineUnavailable(f'not a map: {exc}') from exc
         return ranks.RankMap(
             version=found.version,
             experts=tuple(tuple(experts) for experts in found.experts),
@@ -163,14 +163,14 @@
             status, _ = await self.forward(
                 host, port, ORDER, orjson.dumps(message)
             )
-        except ports.EngineSilent:
+        except ports.EngineUnavailable:
             return ranks.Answer.NONE
         return ANSWERS.get(status, ranks.Answer.REFUSED)
 
     async def _get(self, host: str, port: int, path: bytes) -> bytes:
         status, body = await self.forward(host, port, path)
         if status != 200:
-            raise ports.EngineSilent(f'answered {status}')
+            raise ports.EngineUnavailable(f'answered {status}')
         return body
 
     async def forward(
@@ -179,7 +179,7 @@
         """Ask as it stands, or order by a ``body``.
 
         Return the answer's status and body.  Raises
-        ``ports.EngineSilent``.
+        ``ports.EngineUnavailable``.
         """
         if not body:
             return await self._call(host, port, b'GET', target, b'')
@@ -195,12 +195,12 @@
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._exchange(host, port, method, target, body)
         except TimeoutError:
-            raise ports.EngineSilent('no answer in time') from None
+            raise ports.EngineUnavailable('no answer in time') from None
         except (
             http1_client.ConnectionLost,
             http1_client.NotConnected,
         ) as exc:
-            raise ports.EngineSilent(str(exc)) from exc
+            raise ports.EngineUnavailable(str(exc)) from exc
 
     async def _exchange(
         self, host: str, port: int, method: bytes, path: bytes, body: bytes
--- a/src/aspenfold/platform/store.py
+++ b/src/aspenfold/platform/store.py
@@ -112,7 +112,7 @@
             raise ports.AppendConflict(end=end)
         raise ports.StoreUnavailable(f'the append was answered {status}')
 
-    def forget_connections(self) -> None:
+    def reset_connections(self) -> None:
         """Close every connection; calls in progress fail at once."""
         for connection in [*self._idle, *self._busy]:
             connection.close()
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -111,7 +111,7 @@
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
         one = agent(port, rank)
         await one.start()
-        with pytest.raises(ports.EngineSilent):
+        with pytest.raises(ports.EngineUnavailable):
             await ask(port, engine_module.REPORT)
         assert one.silent == 1
         await one.finish()
@@ -149,7 +149,7 @@
         assert status == 200
         assert await asyncio.wait_for(reader.read(), rigs.WAIT_S) == b''
         writer.close()
-        with pytest.raises(ports.EngineSilent):
+        with pytest.raises(ports.EngineUnavailable):
             await ask(port, engine_module.COUNTS)
         await rank.stop()
 
@@ -184,7 +184,7 @@
                     try:
                         await ask(first, engine_module.COUNTS)
                         break
-                    except ports.EngineSilent:
+                    except ports.EngineUnavailable:
                         await asyncio.sleep(0.02)
             process.send_signal(signal.SIGHUP)
             await ask(first, engine_module.COUNTS)
--- a/tests/unit/test_gateway_feeds.py
+++ b/tests/unit/test_gateway_feeds.py
@@ -54,11 +54,11 @@
         """Not used."""
         raise NotImplementedError
 
-    def forget_connections(self) -> None:
+    def reset_connections(self) -> None:
         """Nothing to forget."""
 
 
-class Believer:
+class FeedConsumer:
     """Keeps what it is told."""
 
     def __init__(self) -> None:
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self.store = FakeStore()
         self.clock = clock.ManualClock(start=clock.EPOCH)
-        self.believer = Believer()
+        self.consumer = FeedConsumer()
         platform = ports.Platform(
             store=self.store,
             plan_topic='plans',
@@ -86,15 +86,15 @@
             decode_listing=decode_listing,
             engine=None,  # type: ignore[arg-type]
         )
-        self.source = reader_selection.Source(
+        self.selection = reader_selection.ReaderSelection(
             host='g-2', zone='z', now=self.clock.now()
         )
-        self.published: list[relay.News | None] = []
-        self.feeds = store_feeds.Feeds(
+        self.published: list[relay.RelayedRecords | None] = []
+        self.feeds = store_feeds.StoreFeeds(
             platform=platform,
-            believer=self.believer,
+            consumer=self.consumer,
             clock=self.clock,
-            source=self.source,
+            selection=self.selection,
             publish=self.published.append,
         )
 
@@ -106,20 +106,20 @@
         """Read the list once."""
         self.store.pages = [page]
         try:
-            asyncio.run(self.feeds.list.once())
+            asyncio.run(self.feeds.endpoints.poll())
         except ports.StoreUnavailable as exc:
-            self.feeds.state.failed('list', exc)
-        self.feeds.list.settle()
+            self.feeds.health.on_failure('list', exc)
+        self.feeds.endpoints.settle()
 
     def read_plan(self, page: ports.Page) -> None:
         """Read the plan once."""
         self.store.pages = [page]
-        asyncio.run(self.feeds.plan.once())
+        asyncio.run(self.feeds.plan.poll())
 
     def routable(self) -> list[str]:
         """Return which endpoints may get a request."""
         now = self.clock.now()
-        found = self.believer.directory.routable('s', now)
+        found = self.consumer.directory.routable('s', now)
         return sorted(e.name for e in found)
 
 
@@ -171,7 +171,7 @@
     scene = begun()
     scene.read_list(page((2, 'a', b'draining')))
     assert scene.routable() == ['b']
-    scene.feeds.list._next = None
+    scene.feeds.endpoints._next = None
     scene.read_list(page((0, 'a', b'ready'), (1, 'b', b'ready'), end=2))
     scene.read_list(page((3, 'a', b'ready')))
     assert scene.routable() == ['b']
@@ -182,7 +182,7 @@
     scene = begun()
     scene.read_list(page((2, 'a', None)))
     assert scene.routable() == ['b']
-    scene.feeds.list._next = None
+    scene.feeds.endpoints._next = None
     scene.read_list(page((0, 'a', b'ready'), (1, 'b', b'ready'), end=2))
     assert scene.routable() == ['b']
 
@@ -238,14 +238,14 @@
     """Its end lies before what was read already."""
     scene = begun()
     scene.read_list(page((2, 'c', b'ready')))
-    scene.feeds.state._check_until = scene.clock.now() + 10 * SECOND
+    scene.feeds.health._check_until = scene.clock.now() + 10 * SECOND
     scene.read_list(page((0, 'a', b'ready'), end=1))
     assert scene.routable() == ['a', 'b', 'c']
 
 
 def versions(scene: Scene) -> list[int]:
     """Return the versions adopted."""
-    return [found.version for found in scene.believer.plans]
+    return [found.version for found in scene.consumer.plans]
 
 
 def test_plans_are_read_in_the_log_s_order() -> None:
@@ -271,7 +271,7 @@
     scene.read_plan(page((0, 'plan', b'7')))
     scene.store.trimmed = True
     scene.read_plan(page())
-    scene.feeds.state._check_until = None
+    scene.feeds.health._check_until = None
     scene.read_plan(page((9, 'plan', b'12'), end=10))
     assert versions(scene) == [7, 12]
 
@@ -282,18 +282,18 @@
     async def run() -> None:
         scene = Scene()
         scene.store.pages = [page((0, 'plan', b'7'))]
-        await scene.feeds.plan.once()
+        await scene.feeds.plan.poll()
         scene.store.lost = True
-        reading = asyncio.ensure_future(scene.feeds.plan.once())
+        reading = asyncio.ensure_future(scene.feeds.plan.poll())
         await asyncio.sleep(0)
-        scene.feeds.plan.hint(0)
+        scene.feeds.plan.notify_offset(0)
         await asyncio.sleep(0)
         assert not reading.done()
-        scene.feeds.plan.hint(4)
+        scene.feeds.plan.notify_offset(4)
         await reading
         scene.store.lost = False
         scene.store.pages = [page((4, 'plan', b'9'))]
-        await scene.feeds.plan.once()
+        await scene.feeds.plan.poll()
         assert versions(scene) == [7, 9]
 
     asyncio.run(run())
@@ -302,7 +302,7 @@
 def relayed(*records: tuple[int, str, bytes | None], **more: object) -> bytes:
     """Return a line of news about endpoints."""
     found = page(*records)
-    news = relay.News(
+    news = relay.RelayedRecords(
         topic='endpoints',
         end=typing.cast(int, more.pop('end', found.end)),
         records=found.records,
@@ -314,16 +314,16 @@
 def test_a_peer_s_news_is_taken_like_one_s_own() -> None:
     """Changes, removals and whole lists; older ones change nothing."""
     scene = begun()
-    scene.feeds.relayed(relay.decode(relayed((5, 'c', b'ready'))))
+    scene.feeds.apply_relayed(relay.decode(relayed((5, 'c', b'ready'))))
     assert scene.routable() == ['a', 'b', 'c']
-    scene.feeds.relayed(relay.decode(relayed((6, 'a', b'draining'))))
-    scene.feeds.relayed(relay.decode(relayed(absent=('b',), end=8)))
+    scene.feeds.apply_relayed(relay.decode(relayed((6, 'a', b'draining'))))
+    scene.feeds.apply_relayed(relay.decode(relayed(absent=('b',), end=8)))
     assert scene.routable() == ['c']
     whole = relayed((7, 'd', b'ready'), whole=True, end=9)
-    scene.feeds.relayed(relay.decode(whole))
+    scene.feeds.apply_relayed(relay.decode(whole))
     assert scene.routable() == ['d']
     old = relayed((0, 'a', b'ready'), (1, 'b', b'ready'), whole=True)
-    scene.feeds.relayed(relay.decode(old))
+    scene.feeds.apply_relayed(relay.decode(old))
     assert scene.routable() == ['d']
 
 
@@ -332,8 +332,10 @@
     scene = Scene()
     for offset, value in ((4, '7'), (9, '8'), (4, '7')):
         record = ports.Record(offset=offset, key='plan', value=value.encode())
-        scene.feeds.relayed(
-            relay.News(topic='plans', end=offset + 1, records=(record,))
+        scene.feeds.apply_relayed(
+            relay.RelayedRecords(
+                topic='plans', end=offset + 1, records=(record,)
+            )
         )
     assert versions(scene) == [7, 8]
 
@@ -341,11 +343,11 @@
 def test_what_is_read_is_passed_on_once() -> None:
     """A heartbeat alone is no news, but shows that the reader lives."""
     scene = begun()
-    scene.feeds.list.tell_changes()
+    scene.feeds.endpoints.publish_changes()
     scene.read_list(page((2, 'a', b'ready'), (3, 'b', b'draining')))
-    scene.feeds.list.tell_changes()
+    scene.feeds.endpoints.publish_changes()
     scene.read_list(page((4, 'a', b'ready')))
-    scene.feeds.list.tell_changes()
+    scene.feeds.endpoints.publish_changes()
     told = [
         news and [(r.key, r.value) for r in news.records]
         for news in scene.published
@@ -364,7 +366,7 @@
     scene.read_list(page((2, 'a', None), (3, 'c', b'ready')))
     other = Scene()
     for news in scene.feeds.snapshot():
-        other.feeds.relayed(relay.decode(relay.encode(news)))
+        other.feeds.apply_relayed(relay.decode(relay.encode(news)))
     assert other.routable() == scene.routable() == ['b', 'c']
     assert versions(other) == [7]
 
@@ -372,10 +374,10 @@
 def test_an_endpoint_that_is_gone_does_not_return_by_an_old_reading() -> None:
     """Also if there was no record of its removal."""
     scene = begun()
-    scene.feeds.list._next = None
+    scene.feeds.endpoints._next = None
     scene.read_list(page((1, 'b', b'ready'), end=6))
     assert scene.routable() == ['b']
-    scene.feeds.list._next = None
+    scene.feeds.endpoints._next = None
     scene.read_list(page((5, 'a', b'ready'), (1, 'b', b'ready'), end=6))
     assert scene.routable() == ['b']
 
@@ -389,7 +391,7 @@
         assert news is None or relay.encode(news)
     other = Scene()
     for news in scene.feeds.snapshot():
-        other.feeds.relayed(relay.decode(relay.encode(news)))
+        other.feeds.apply_relayed(relay.decode(relay.encode(news)))
     assert other.routable() == ['a', 'b']
     assert versions(scene) == [7]
     assert versions(other) == []
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -243,26 +243,27 @@
     """Let three processes contest a lease over a lossy store."""
     rng = random.Random(seed)
     now = clock.EPOCH
-    log: list[election.Grant] = []
+    log: list[election.LeaseRecord] = []
     players = [
-        election.Contest(name=f'p{i}', host=f'h{i}', rng=rng) for i in range(3)
+        election.LeaseElection(name=f'p{i}', host=f'h{i}', rng=rng)
+        for i in range(3)
     ]
     tokens: dict[int, str] = {}
     for _ in range(2000):
         now += 0.05 * SECOND
         player = rng.choice(players)
         if rng.random() < 0.5:
-            player.read(log[-1] if log else None, len(log), now)
-        wish = player.wish(now)
-        if wish is None or rng.random() < 0.2:
+            player.on_read(log[-1] if log else None, len(log), now)
+        request = player.next_append(now)
+        if request is None or rng.random() < 0.2:
             continue
-        if wish.end != len(log):
-            player.conflicted(len(log))
+        if request.expected_offset != len(log):
+            player.on_append_conflict(len(log))
             continue
-        grant = election.Grant(
-            holder=wish.holder,
-            host=wish.host,
-            token=wish.token,
+        grant = election.LeaseRecord(
+            holder=request.holder,
+            host=request.host,
+            token=request.token,
             offset=len(log),
         )
         log.append(grant)
@@ -270,7 +271,7 @@
         assert tokens.setdefault(grant.token, grant.holder) == grant.holder
         assert grant.token >= max(tokens)
         if rng.random() < 0.8:
-            player.read(grant, len(log), now)
+            player.on_read(grant, len(log), now)
     assert len(log) > 5
 
 
@@ -283,16 +284,16 @@
 def test_a_restarted_process_takes_its_host_s_lease_at_once() -> None:
     """Nobody else can; a lapse would only cost time."""
     rng = random.Random(1)
-    player = election.Contest(name='h/2', host='h', rng=rng)
-    other = election.Contest(name='x/1', host='x', rng=rng)
-    grant = election.Grant(holder='h/1', host='h', token=4, offset=9)
+    player = election.LeaseElection(name='h/2', host='h', rng=rng)
+    other = election.LeaseElection(name='x/1', host='x', rng=rng)
+    grant = election.LeaseRecord(holder='h/1', host='h', token=4, offset=9)
     for one in (player, other):
-        one.read(grant, 10, clock.EPOCH)
-    soon = clock.EPOCH + election.JITTER
-    assert other.wish(soon) is None
-    wish = player.wish(soon)
-    assert wish is not None
-    assert wish.token == 11
+        one.on_read(grant, 10, clock.EPOCH)
+    soon = clock.EPOCH + election.MAX_ACQUIRE_DELAY
+    assert other.next_append(soon) is None
+    request = player.next_append(soon)
+    assert request is not None
+    assert request.token == 11
 
 
 # -- peers ---------------------------------------------------------------
@@ -329,14 +330,14 @@
             members=known,
             now=clock.EPOCH,
         )
-        one.roster(roster)
+        one.set_addresses(roster)
         made.append((one, known))
     return made[0][0], made[1][0], made[1][1]
 
 
 def told(one: peers.Peers, now: datetime.datetime) -> bytes:
     """Return what a gateway tells its peer, which is due."""
-    due = one.outgoing(now)
+    due = one.next_update(now)
     assert due is not None
     assert len(due.addresses) == 1
     return due.data
@@ -361,24 +362,24 @@
         f'g-{i}': settings.TcpAddress(host=f'10.0.0.{i}', port=7)
         for i in range(31)
     }
-    one.roster(roster)
+    one.set_addresses(roster)
     for i in range(1, 31):
         zone = 'z' if i <= 10 else 'y'
         fields = [f'g-{i}', 'i', 1, {}, 5, 0, {}, zone, False, {}]
-        one.heard(orjson.dumps(fields), f'10.0.0.{i}', clock.EPOCH)
+        one.receive(orjson.dumps(fields), f'10.0.0.{i}', clock.EPOCH)
     sent = {'near': 0, 'far': 0}
     endpoint = known.get('w')
     assert endpoint is not None
     for tick in range(400):
         endpoint.in_flight = tick % 5
-        due = one.outgoing(clock.EPOCH + tick * SECOND / 40)
+        due = one.next_update(clock.EPOCH + tick * SECOND / 40)
         for address in due.addresses if due else ():
             number = int(address.host.rpartition('.')[2])
             sent['near' if number <= 10 else 'far'] += 1
     assert 10 * 10 * 10 <= sent['near'] <= 10 * 10 * 16
     assert 10 * 20 <= sent['far'] <= 10 * 20 * 1.2
     one.plan_offset = 9
-    due = one.outgoing(clock.EPOCH + 10.2 * SECOND)
+    due = one.next_update(clock.EPOCH + 10.2 * SECOND)
     assert due is not None
     assert len(due.addresses) == 30
 
@@ -395,12 +396,12 @@
     first = told(one, now)
     sender.in_flight = 1
     second = told(one, now + SECOND)
-    two.heard(first, '10.0.0.0', now)
+    two.receive(first, '10.0.0.0', now)
     assert here.elsewhere == 3
-    two.heard(second, '10.0.0.0', now)
-    two.heard(first, '10.0.0.0', now)
+    two.receive(second, '10.0.0.0', now)
+    two.receive(first, '10.0.0.0', now)
     assert here.elsewhere == 1
-    two.forget_silent(now + 3 * SECOND)
+    two.expire_silent(now + 3 * SECOND)
     assert here.elsewhere == 0
 
 
@@ -413,10 +414,10 @@
     for number, more in enumerate([[], [{'s': 40}], [{'s': 40}, 'new']], 1):
         fields[2] = number
         data = orjson.dumps([*fields, *more])
-        news = two.heard(data, '10.0.0.0', clock.EPOCH)
-        assert news is not None
+        update = two.receive(data, '10.0.0.0', clock.EPOCH)
+        assert update is not None
         assert here.elsewhere == 2
-        assert len(news.recovered) == (1 if more else 0)
+        assert len(update.recovery_ages) == (1 if more else 0)
     assert one.rejected == two.rejected == 0
 
 
@@ -453,9 +454,9 @@
     here.in_flight = 2
     one.token = 7
     for number, (paces, pressure) in enumerate([({'w': 3.0}, 1.5), ({}, 0.5)]):
-        one.paces = paces
+        one.slowdowns = paces
         data = told(one, clock.EPOCH + number * SECOND)
-        two.heard(data, '10.0.0.0', clock.EPOCH)
+        two.receive(data, '10.0.0.0', clock.EPOCH)
         assert here.pressure == pressure
 
 
@@ -475,28 +476,28 @@
     one, two, _ = gateways()
     one.token = 7
     data = told(one, clock.EPOCH)
-    two.heard(data, '10.0.0.0', clock.EPOCH)
-    last = clock.EPOCH + peers.LEADER_SILENCE
-    assert two.leader_heard(last)
-    assert not two.leader_silent(last)
-    assert not two.leader_heard(last + SECOND / 1000)
-    assert two.leader_silent(last + SECOND / 1000)
-    assert not one.leader_silent(last + SECOND)
+    two.receive(data, '10.0.0.0', clock.EPOCH)
+    last = clock.EPOCH + peers.LEADER_TIMEOUT
+    assert two.is_leader_alive(last)
+    assert not two.is_leader_lost(last)
+    assert not two.is_leader_alive(last + SECOND / 1000)
+    assert two.is_leader_lost(last + SECOND / 1000)
+    assert not one.is_leader_lost(last + SECOND)
 
 
 def test_a_newcomer_that_hears_no_leader_takes_none_to_be_left() -> None:
     """All may have ended at once; nobody would wait for the lapse."""
     one, two, _ = gateways()
-    early = clock.EPOCH + peers.NEWCOMER_SILENCE - SECOND / 1000
-    late = clock.EPOCH + peers.NEWCOMER_SILENCE
-    assert one.newcomer(early)
-    assert not one.leader_silent(early)
-    assert not one.newcomer(late)
-    assert one.leader_silent(late)
+    early = clock.EPOCH + peers.LEADER_DISCOVERY_DURATION - SECOND / 1000
+    late = clock.EPOCH + peers.LEADER_DISCOVERY_DURATION
+    assert one.is_discovering_leader(early)
+    assert not one.is_leader_lost(early)
+    assert not one.is_discovering_leader(late)
+    assert one.is_leader_lost(late)
     two.token = 7
     data = told(two, early)
-    one.heard(data, '10.0.0.1', early)
-    assert not one.leader_silent(late)
+    one.receive(data, '10.0.0.1', early)
+    assert not one.is_leader_lost(late)
 
 
 def test_a_leader_tells_often_that_it_leads() -> None:
@@ -504,22 +505,22 @@
     one, _, _ = gateways()
     one.token = 7
     assert told(one, clock.EPOCH)
-    later = clock.EPOCH + peers.LEADING_INTERVAL
+    later = clock.EPOCH + peers.LEADER_INTERVAL
     assert told(one, later)
-    assert 3 * peers.LEADING_INTERVAL < peers.LEADER_SILENCE
+    assert 3 * peers.LEADER_INTERVAL < peers.LEADER_TIMEOUT
 
 
 def test_the_lease_of_a_holder_that_fell_silent_is_free() -> None:
     """Long before it lapses: a group that it holds stands still."""
     rng = random.Random(5)
-    player = election.Contest(name='h/2', host='h', rng=rng)
-    grant = election.Grant(holder='x/1', host='x', token=4, offset=3)
-    player.read(grant, 4, clock.EPOCH)
-    soon = clock.EPOCH + election.JITTER
-    assert player.wish(soon) is None
-    wish = player.wish(soon, silent=True)
-    assert wish is not None
-    assert wish.token > grant.token
+    player = election.LeaseElection(name='h/2', host='h', rng=rng)
+    grant = election.LeaseRecord(holder='x/1', host='x', token=4, offset=3)
+    player.on_read(grant, 4, clock.EPOCH)
+    soon = clock.EPOCH + election.MAX_ACQUIRE_DELAY
+    assert player.next_append(soon) is None
+    request = player.next_append(soon, holder_silent=True)
+    assert request is not None
+    assert request.token > grant.token
 
 
 @pytest.mark.parametrize(
@@ -538,7 +539,7 @@
 ) -> None:
     """Also those of a host that is not a gateway's."""
     _, two, known = gateways()
-    two.heard(data, sender, clock.EPOCH)
+    two.receive(data, sender, clock.EPOCH)
     here = known.get('w')
     assert here is not None
     assert here.elsewhere == 0
--- a/tests/unit/test_group_watch.py
+++ b/tests/unit/test_group_monitor.py
@@ -47,10 +47,10 @@
         self.asked: list[str] = []
 
     async def report(
-        self, endpoint: directory.Endpoint, *, free: bool = False
+        self, endpoint: directory.Endpoint, *, agent_only: bool = False
     ) -> ranks.Report | None:
         """Return a report, None if there is no agent."""
-        assert free
+        assert agent_only
         self.asked.append(endpoint.name)
         return self.reports.get(endpoint.name)
 
@@ -74,7 +74,7 @@
 
 def world(
     *groups: str,
-) -> tuple[FakeCore, FakeRanks, group_monitor.GroupWatch]:
+) -> tuple[FakeCore, FakeRanks, group_monitor.GroupMonitor]:
     """Return a gateway that knows one rank of each group by name."""
     core, client = FakeCore(), FakeRanks()
     for number, group in enumerate(groups):
@@ -91,7 +91,7 @@
             )
         )
         client.reports[name] = report(group)
-    watch = group_monitor.GroupWatch(
+    watch = group_monitor.GroupMonitor(
         core=core,  # type: ignore[arg-type]
         ranks_client=client,  # type: ignore[arg-type]
         rng=random.Random(1),
@@ -99,12 +99,12 @@
     return core, client, watch
 
 
-def watch_for(watch: group_monitor.GroupWatch, turns: int) -> None:
+def watch_for(watch: group_monitor.GroupMonitor, turns: int) -> None:
     """Let the watch take some turns."""
 
     async def run() -> None:
         for _ in range(turns):
-            await watch.turn()
+            await watch.poll()
 
     asyncio.run(run())
 
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -117,7 +117,7 @@
     """The time is counted from when this process saw the grant."""
     state = state_module.FleetState()
     feed(state, grant('entry-a', 0))
-    other = lease_client.LeaseKeeper(holder='entry-b')
+    other = lease_client.LeaseClient(holder='entry-b')
     ttl = 1000 * sim_module.MS
     now = sim_module.START
     assert other.request(state, LEASE, ttl, 'x', now) is None
@@ -133,20 +133,20 @@
     state = state_module.FleetState()
     state.set_document(1, document, fleet.Fleet.model_validate(document))
     state.next_offset = 2
-    doer = leased_tasks.Duties(
+    tasks = leased_tasks.LeasedTasks(
         name='entry-a',
         rng=random.Random(1),
         snapshot_interval=leased_tasks.LEASE_TTL * 1000,
     )
     now = sim_module.START
     for _ in range(2):
-        feed(state, *doer.tick(state, {}, now))
+        feed(state, *tasks.tick(state, {}, now))
     assert planner.skew(state.maps['group-0'].placement, [1.0] * 16) == 1.0
     first = state.maps['group-0'].version
     later = now + leased_tasks.PLAN_INTERVAL
-    assert doer.tick(state, {'group-0': [1.0] * 16}, later) == []
+    assert tasks.tick(state, {'group-0': [1.0] * 16}, later) == []
     load = [1.0] * 15 + [9.0]
-    feed(state, *doer.tick(state, {'group-0': load}, later))
+    feed(state, *tasks.tick(state, {'group-0': load}, later))
     current = state.maps['group-0']
     assert current.version > first
     assert planner.skew(current.placement, load) < 1.1
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -72,7 +72,7 @@
     async def _call(self, port: int) -> None:
         self.called.append(port)
         if port not in self.up:
-            raise ports.EngineSilent('nobody there')
+            raise ports.EngineUnavailable('nobody there')
 
     async def counts(self, host: str, port: int) -> ranks.Counts:
         """Return a rank's counts."""
@@ -158,7 +158,7 @@
     for _ in range(2):
         assert asyncio.run(found.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT, ENGINE, ENGINE]
-    clock.time += rank_client.AGENT_PAUSE
+    clock.time += rank_client.AGENT_RETRY_DELAY
     engine.up.add(AGENT)
     assert asyncio.run(found.counts(endpoint('1'))) is not None
     assert engine.called[3:] == [AGENT]
@@ -169,7 +169,9 @@
     engine = FakeEngine(ENGINE)
     found, _ = client(engine)
     for _ in range(2):
-        assert asyncio.run(found.counts(endpoint('1'), free=True)) is None
+        assert (
+            asyncio.run(found.counts(endpoint('1'), agent_only=True)) is None
+        )
     assert engine.called == [AGENT]
 
 
@@ -210,7 +212,7 @@
     assert answer is ranks.Answer.ACCEPTED
     assert asyncio.run(found.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT, ENGINE, AGENT]
-    clock.time += rank_client.AGENT_PAUSE
+    clock.time += rank_client.AGENT_RETRY_DELAY
     asyncio.run(found.order(endpoint('1'), ORDER))
     assert engine.called[3:] == [AGENT]
 
@@ -225,7 +227,7 @@
         began = loop.time()
         answer = await found.order(endpoint('1'), ORDER)
         assert answer is ranks.Answer.NONE
-        limit = rank_client.AGENT_ORDER_LIMIT.total_seconds()
+        limit = rank_client.AGENT_ORDER_TIMEOUT.total_seconds()
         assert limit <= loop.time() - began < FROZEN_S
         answer = await found.order(endpoint('1'), ORDER)
         assert answer is ranks.Answer.ACCEPTED
@@ -271,14 +273,16 @@
     assert len(read) == sampling.FAR_RANKS
     engine = FakeEngine(AGENT, ENGINE)
     found, clock = client(engine)
-    planner = map_planner.MapPlanner(service='s', shape=SHAPE, clock=clock)
+    planner = map_planner.GroupMapPlanner(
+        service='s', shape=SHAPE, clock=clock
+    )
     reader = count_reader.CountReader(
         ranks_client=found, planner=planner, zone='a'
     )
 
     async def run() -> None:
         for _ in range(60):
-            if reader.turn(group, clock.now()):
+            if reader.poll(group, clock.now()):
                 await asyncio.sleep(0.01)
             clock.time += datetime.timedelta(milliseconds=50)
 
