--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -15,8 +15,8 @@
 
 from aspenfold._internal.calls import actions
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
@@ -124,7 +124,7 @@
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
                 self._leased_tasks.on_snapshot(offset, self._entry.clock.now())
-            if judged.verdict is not fold.Verdict.ACCEPTED:
+            if judged.verdict is not reducer.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
                     offset=offset,
@@ -153,7 +153,7 @@
         while True:
             await asyncio.sleep(DUTY_INTERVAL)
             reading = self._kernel.fleet_reader
-            if not self._kernel.log_up or reading.recovering:
+            if not self._kernel.log_up or reading.awaiting_snapshot:
                 continue
             for record in self._leased_tasks.tick(
                 reading.state, self._expert_loads(), self._entry.clock.now()
