--- a/src/aspenfold/_internal/network/__init__.py
+++ b/src/aspenfold/_internal/network/__init__.py
@@ -1,1 +1,1 @@
-"""The I/O edges: HTTP, RPC, and the platform's services."""
+"""Network I/O: HTTP, RPC, and clients of the platform's services."""
--- a/src/aspenfold/_internal/network/auth.py
+++ b/src/aspenfold/_internal/network/auth.py
@@ -1,4 +1,4 @@
-"""The system key on calls between aspenfold's own processes."""
+"""Authenticates RPC between aspenfold processes by the system key."""
 
 import hmac
 import typing
@@ -10,16 +10,16 @@
 
 
 def metadata(system_key: str) -> dict[str, str]:
-    """Return the metadata that every call carries."""
+    """Return the RPC metadata that carries ``system_key``."""
     return {SYSTEM_KEY_HEADER: system_key}
 
 
 def require_system_key(server: typing.Any, system_key: str) -> None:
-    """Have ``server`` refuse calls without the system key."""
+    """Make ``server`` reject calls without ``system_key``."""
 
     async def check(event: grpclib.events.RecvRequest) -> None:
-        given = str(event.metadata.get(SYSTEM_KEY_HEADER, ''))
-        if not hmac.compare_digest(given.encode(), system_key.encode()):
+        received = str(event.metadata.get(SYSTEM_KEY_HEADER, ''))
+        if not hmac.compare_digest(received.encode(), system_key.encode()):
             raise grpclib.GRPCError(
                 grpclib.Status.UNAUTHENTICATED, 'wrong system key'
             )
--- a/src/aspenfold/_internal/network/codec.py
+++ b/src/aspenfold/_internal/network/codec.py
@@ -1,4 +1,4 @@
-"""Turns typed messages into generated codec messages and back."""
+"""Converts between aspenfold's types and protobuf messages."""
 
 import datetime
 
@@ -12,7 +12,7 @@
 
 
 def request_to_pb(request: frames.AttemptRequest) -> pb.ExecuteRequest:
-    """Encode an attempt's request."""
+    """Encode the request of an attempt."""
     return pb.ExecuteRequest(
         attempt_id=request.attempt_id,
         incarnation=request.incarnation,
@@ -33,7 +33,7 @@
 
 
 def request_from_pb(message: pb.ExecuteRequest) -> frames.AttemptRequest:
-    """Decode an attempt's request."""
+    """Decode the request of an attempt."""
     return frames.AttemptRequest(
         attempt_id=message.attempt_id,
         incarnation=message.incarnation,
@@ -54,7 +54,7 @@
 
 
 def load_to_pb(load: frames.Load) -> pb.Load:
-    """Encode a load."""
+    """Encode an agent's load."""
     return pb.Load(
         running=load.running,
         waiting=load.waiting,
@@ -64,7 +64,7 @@
 
 
 def load_from_pb(message: pb.Load) -> frames.Load:
-    """Decode a load."""
+    """Decode an agent's load."""
     return frames.Load(
         running=message.running,
         waiting=message.waiting,
@@ -74,7 +74,7 @@
 
 
 def frame_to_pb(frame: frames.Frame) -> pb.Frame:
-    """Encode a frame."""
+    """Encode a frame of an answer stream."""
     message = pb.Frame(
         attempt_id=frame.attempt_id, load=load_to_pb(frame.load)
     )
@@ -98,7 +98,7 @@
 
 
 def frame_from_pb(message: pb.Frame) -> frames.Frame:
-    """Decode a frame."""
+    """Decode a frame of an answer stream."""
     return frames.Frame(
         attempt_id=message.attempt_id,
         load=load_from_pb(message.load),
@@ -175,12 +175,12 @@
 
 
 def placement_to_bytes(placement: tuple[tuple[int, ...], ...]) -> bytes:
-    """Encode a placement; empty bytes for none."""
+    """Encode each rank's experts; an empty placement as empty bytes."""
     return orjson.dumps(placement) if placement else b''
 
 
 def placement_from_bytes(data: bytes) -> tuple[tuple[int, ...], ...]:
-    """Decode a placement."""
+    """Decode each rank's experts; empty bytes as an empty placement."""
     if not data:
         return ()
     return tuple(tuple(experts) for experts in orjson.loads(data))
--- a/src/aspenfold/_internal/network/datagrams.py
+++ b/src/aspenfold/_internal/network/datagrams.py
@@ -1,35 +1,35 @@
-"""A socket for datagrams on the process's own loop."""
+"""UDP socket on asyncio."""
 
 import asyncio
 from collections import abc
 import typing
 
 DatagramHandler = abc.Callable[[bytes, str], None]
-"""Takes a datagram and the IP address that it came from."""
+"""Is called with a datagram and its sender's IP address."""
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Sends and receives datagrams at one address."""
+    """Sends and receives datagrams at one local address."""
 
     def __init__(self, *, receive: DatagramHandler) -> None:
         self._receive = receive
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(
         self, data: bytes, addr: tuple[str | typing.Any, int]
     ) -> None:
-        """Hand a datagram on."""
+        """Pass a datagram to the handler."""
         self._receive(data, addr[0])
 
     def error_received(self, exc: Exception) -> None:
-        """Leave it: the next datagram makes a lost one good."""
+        """Ignore the error; later datagrams replace lost ones."""
 
     def send(self, data: bytes, host: str, port: int) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram, which may be lost."""
         if self._transport is not None:
             self._transport.sendto(data, (host, port))
 
@@ -37,7 +37,7 @@
 async def listen(
     host: str, port: int, receive: DatagramHandler
 ) -> DatagramEndpoint:
-    """Open the socket."""
+    """Open a UDP socket and return its endpoint."""
     loop = asyncio.get_running_loop()
     _, protocol = await loop.create_datagram_endpoint(
         lambda: DatagramEndpoint(receive=receive), local_addr=(host, port)
--- a/src/aspenfold/_internal/network/endpoint_client.py
+++ b/src/aspenfold/_internal/network/endpoint_client.py
@@ -1,6 +1,7 @@
-"""Hands attempts to an endpoint by urllib3, in threads of their own.
+"""Calls an endpoint with urllib3, in worker threads.
 
-A thread only moves bytes: what it reads goes to the loop, which decides.
+The threads make no decisions; they pass what they read to the event
+loop.
 """
 
 import asyncio
@@ -18,35 +19,38 @@
 from aspenfold._internal.network import http
 
 STREAM_END = '[STREAM_END]'
-"""The engine's mark that its stream is whole."""
+"""Data of the event with which an engine ends a complete stream."""
 
 STREAM_CHUNK_BYTES = 4096
 READ_TIMEOUT_S = 600.0
-"""Seconds without a byte after which an endpoint counts as lost."""
+"""Seconds without a byte after which a response counts as lost."""
 
 ENGINE_PRIORITIES = {'interactive': 0, 'generation': 1, 'batch': 2}
-"""The engine's own priorities; lower is more urgent."""
+"""Engine priority by call priority; lower is more urgent."""
 
 
 class ResponseSink(typing.Protocol):
-    """Where an attempt's answer goes; called on the loop's thread."""
+    """Receives the endpoint's responses, on the event loop's thread."""
 
     def on_head(self, attempt_id: str, head: frames.Head) -> None:
-        """The endpoint began to answer."""
+        """Handle the status and content type of a response."""
 
     def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
-        """The endpoint gave the next items."""
+        """Handle the next items of a response."""
 
     def on_end(self, attempt_id: str) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete response."""
 
     def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
-        """There is no whole answer."""
+        """Handle a missing or incomplete response."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EndpointConfig:
-    """Where the endpoint listens and what its operations are called."""
+    """Address of an endpoint, and the paths of its operations.
+
+    ``operations`` maps an operation's name to a path below ``path``.
+    """
 
     base_url: str
     path: str
@@ -55,7 +59,7 @@
 
 
 class EndpointClient:
-    """Calls one endpoint; at most ``threads`` attempts at a time."""
+    """Calls one endpoint, with at most ``threads`` requests at a time."""
 
     def __init__(
         self,
@@ -74,40 +78,43 @@
         )
 
     def start(self, request: frames.AttemptRequest) -> None:
-        """Hand an attempt to the endpoint; its answer goes to the sink."""
+        """Start an attempt; its response goes to the sink."""
         self._executor.submit(self._run, request)
 
     def cancel(self, attempt_id: str) -> None:
-        """Stop the endpoint's work on an attempt; best effort."""
+        """Ask a model engine to abort an attempt; ignore errors."""
         if self._config.kind == 'model':
             path = f'{self._config.path}/requests/{attempt_id}'
-            self._executor.submit(self._call, 'DELETE', path, None)
+            self._executor.submit(self._call_json, 'DELETE', path, None)
 
     async def send_order(
         self, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
-        """Give the engine an order; None if it did not take it."""
+        """Send an order to the engine and return its response.
+
+        Return None if the engine did not accept the order.
+        """
         path = f'{self._config.path}/orders'
         return await self._loop.run_in_executor(
-            self._executor, self._call, 'POST', path, body
+            self._executor, self._call_json, 'POST', path, body
         )
 
     async def fetch_state(self) -> dict[str, typing.Any] | None:
-        """Return the engine's state of this rank, None if it is silent."""
+        """Return the engine's state of this rank, or None on an error."""
         path = f'{self._config.path}/state'
         return await self._loop.run_in_executor(
-            self._executor, self._call, 'GET', path, None
+            self._executor, self._call_json, 'GET', path, None
         )
 
     def close(self) -> None:
-        """Let no more attempts start."""
+        """Discard queued requests and accept no more."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
-    def _call(
+    def _call_json(
         self, method: str, path: str, body: object
     ) -> dict[str, typing.Any] | None:
         try:
-            answer: dict[str, typing.Any] = http.call_json(
+            response: dict[str, typing.Any] = http.call_json(
                 self._pool,
                 method,
                 path,
@@ -116,36 +123,36 @@
             )
         except http.ServiceError:
             return None
-        return answer
-
-    # -- in a thread -----------------------------------------------------
+        return response
 
     def _run(self, request: frames.AttemptRequest) -> None:
         if request.operation not in self._config.operations:
-            # The fleet and this agent's settings differ; nothing was sent.
+            # The fleet and this agent's settings differ.
             failure = exceptions.Failure(
                 code=exceptions.Code.UNKNOWN_OPERATION,
-                detail=f'the agent knows no operation {request.operation!r}',
+                detail=f'the agent has no operation {request.operation!r}',
             )
             self._post(self._sink.on_failure, request, failure)
             return
         try:
-            self._answer(request)
+            self._request(request)
         except urllib3.exceptions.HTTPError as exc:
-            self._post(self._sink.on_failure, request, _lost(exc))
+            self._post(
+                self._sink.on_failure, request, _connection_failure(exc)
+            )
         except Exception as exc:
-            # A broken answer must end the attempt, whatever broke it.
+            # Any error must end the attempt, or its caller would wait.
             failure = exceptions.Failure(
                 code=exceptions.Code.ENDPOINT_FAILED,
-                detail=f'the endpoint broke its protocol: {exc!r:.100}',
+                detail=f'the endpoint sent an invalid response: {exc!r:.100}',
             )
             self._post(self._sink.on_failure, request, failure)
 
-    def _answer(self, request: frames.AttemptRequest) -> None:
-        answer = self._pool.request(
+    def _request(self, request: frames.AttemptRequest) -> None:
+        response = self._pool.request(
             'POST',
             self._config.path + self._config.operations[request.operation],
-            body=self._body(request),
+            body=self._request_body(request),
             headers={
                 'Content-Type': 'application/json',
                 'X-Request-Id': request.call_id,
@@ -156,45 +163,44 @@
                 connect=http.CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S
             ),
         )
-        content_type = answer.headers.get('Content-Type', '')
-        head = frames.Head(status=answer.status, content_type=content_type)
+        content_type = response.headers.get('Content-Type', '')
+        head = frames.Head(status=response.status, content_type=content_type)
         streamed = content_type.startswith('text/event-stream')
         if not streamed:
-            # The head goes on only with a whole body, so that a caller
-            # never sees a status whose body is then lost.
-            data = answer.read()
-            answer.release_conn()
+            # Pass on the status only once the body is complete.
+            body = response.read()
+            response.release_conn()
             self._post(self._sink.on_head, request, head)
-            self._post(self._sink.on_items, request, (data,))
+            self._post(self._sink.on_items, request, (body,))
             self._post(self._sink.on_end, request)
             return
         self._post(self._sink.on_head, request, head)
-        self._stream(request, answer)
+        self._read_stream(request, response)
 
-    def _stream(
+    def _read_stream(
         self,
         request: frames.AttemptRequest,
-        answer: urllib3.BaseHTTPResponse,
+        response: urllib3.BaseHTTPResponse,
     ) -> None:
-        chunks = answer.stream(STREAM_CHUNK_BYTES, decode_content=True)
-        whole = False
+        chunks = response.stream(STREAM_CHUNK_BYTES, decode_content=True)
+        complete = False
         for event in sseclient.SSEClient(chunks).events():
             if event.data == STREAM_END:
-                whole = True
+                complete = True
                 break
             item = event.data.encode()
             self._post(self._sink.on_items, request, (item,))
-        answer.release_conn()
-        if whole:
+        response.release_conn()
+        if complete:
             self._post(self._sink.on_end, request)
             return
         failure = exceptions.Failure(
             code=exceptions.Code.ENDPOINT_LOST,
-            detail='the endpoint ended its stream early',
+            detail='the endpoint closed its stream before the end marker',
         )
         self._post(self._sink.on_failure, request, failure)
 
-    def _body(self, request: frames.AttemptRequest) -> bytes:
+    def _request_body(self, request: frames.AttemptRequest) -> bytes:
         if self._config.kind != 'model':
             return request.body
         body = orjson.loads(request.body)
@@ -205,21 +211,25 @@
 
     def _post(
         self,
-        method: abc.Callable[..., None],
+        callback: abc.Callable[..., None],
         request: frames.AttemptRequest,
         *arguments: object,
     ) -> None:
-        self._loop.call_soon_threadsafe(method, request.attempt_id, *arguments)
+        self._loop.call_soon_threadsafe(
+            callback, request.attempt_id, *arguments
+        )
 
 
-def _lost(exc: urllib3.exceptions.HTTPError) -> exceptions.Failure:
+def _connection_failure(
+    exc: urllib3.exceptions.HTTPError,
+) -> exceptions.Failure:
     if http.may_have_been_sent(exc):
         return exceptions.Failure(
             code=exceptions.Code.FATE_UNKNOWN,
-            detail='the connection to the endpoint broke',
+            detail='the connection to the endpoint was lost',
         )
     return exceptions.Failure(
         code=exceptions.Code.ENDPOINT_UNREACHABLE,
-        detail='the endpoint cannot be reached',
+        detail='the endpoint is unreachable',
         retry_after=None,
     )
--- a/src/aspenfold/_internal/network/frame_queue.py
+++ b/src/aspenfold/_internal/network/frame_queue.py
@@ -1,59 +1,60 @@
-"""An agent's outgoing leg: frames wait here while a send is under way."""
+"""Queues and merges an agent's outgoing frames."""
 
 import asyncio
 
 from aspenfold._internal.kernel import frames
 
 MAX_ITEMS_PER_FRAME = 512
-"""Items that may travel in one frame."""
+"""Largest number of items that are merged into one frame."""
 
 
 class FrameQueue:
-    """Frames for one reader; items that wait together travel together.
+    """Frames that wait to be sent on one answer stream.
 
-    A frame is sent at once when the reader is idle.  While a send is
-    under way new items gather, so a busy leg costs one message for many
-    tokens and an idle one adds no delay.
+    A frame is available at once.  Items that are queued during a send
+    are merged, so that a busy stream needs fewer messages.
     """
 
     def __init__(self) -> None:
         self._frames: list[frames.Frame] = []
         self._closed = False
-        self._changed = asyncio.Event()
+        self._wakeup = asyncio.Event()
 
     def put(self, frame: frames.Frame) -> None:
         """Queue a frame."""
         self._frames.append(frame)
-        self._changed.set()
+        self._wakeup.set()
 
     def close(self) -> None:
-        """Nothing follows what is queued."""
+        """Mark the end; no more frames may be queued."""
         self._closed = True
-        self._changed.set()
+        self._wakeup.set()
 
     async def take(self) -> list[frames.Frame]:
-        """Return what is queued, merged; empty at the end."""
+        """Wait for frames and return them merged; empty after the last."""
         while not self._frames and not self._closed:
-            self._changed.clear()
-            await self._changed.wait()
-        taken, self._frames = self._frames, []
-        return merge(taken)
+            self._wakeup.clear()
+            await self._wakeup.wait()
+        queued, self._frames = self._frames, []
+        return merge(queued)
 
 
 def merge(queued: list[frames.Frame]) -> list[frames.Frame]:
-    """Join items that follow each other into one frame."""
+    """Merge frames of consecutive items."""
     merged: list[frames.Frame] = []
     for frame in queued:
-        joined = _join(merged[-1], frame) if merged else None
-        if joined is None:
+        pair = _merge_pair(merged[-1], frame) if merged else None
+        if pair is None:
             merged.append(frame)
         else:
-            merged[-1] = joined
+            merged[-1] = pair
     return merged
 
 
-def _join(one: frames.Frame, two: frames.Frame) -> frames.Frame | None:
-    before, after = one.body, two.body
+def _merge_pair(
+    first: frames.Frame, second: frames.Frame
+) -> frames.Frame | None:
+    before, after = first.body, second.body
     if not isinstance(before, frames.Items):
         return None
     if not isinstance(after, frames.Items):
@@ -63,4 +64,6 @@
     if len(before.items) + len(after.items) > MAX_ITEMS_PER_FRAME:
         return None
     body = frames.Items(first=before.first, items=before.items + after.items)
-    return frames.Frame(attempt_id=two.attempt_id, load=two.load, body=body)
+    return frames.Frame(
+        attempt_id=second.attempt_id, load=second.load, body=body
+    )
--- a/src/aspenfold/_internal/network/host_list_client.py
+++ b/src/aspenfold/_internal/network/host_list_client.py
@@ -1,4 +1,4 @@
-"""The platform's host list by its HTTP protocol."""
+"""HTTP client of the platform's host list."""
 
 from aspenfold._internal import exceptions
 from aspenfold._internal.models import hosts
@@ -6,20 +6,23 @@
 
 
 class HostListClient:
-    """Reads the host list; blocks, so run it in a thread."""
+    """Reads the host list; its methods block."""
 
     def __init__(self, *, base_url: str) -> None:
         self._pool = http.connection_pool(base_url)
 
     def read(self) -> hosts.HostList:
-        """Return the list as the platform shows it now."""
+        """Return the current host list.
+
+        Raises AspenfoldError if the service does not respond.
+        """
         try:
             data = http.call_json(self._pool, 'GET', '/hosts')
         except http.ServiceError as exc:
             raise exceptions.AspenfoldError(
                 exceptions.Failure(
                     code=exceptions.Code.HOST_LIST_DOWN,
-                    detail=f'the host list did not answer: {exc}',
+                    detail=f'the host list service did not respond: {exc}',
                     remedy='check the host list and try again',
                 )
             ) from exc
--- a/src/aspenfold/_internal/network/http.py
+++ b/src/aspenfold/_internal/network/http.py
@@ -1,4 +1,4 @@
-"""Calling HTTP services by urllib3, with plain errors."""
+"""Calls JSON services over HTTP with urllib3."""
 
 import typing
 
@@ -14,7 +14,7 @@
 def connection_pool(
     base_url: str, *, size: int = 4
 ) -> urllib3.HTTPConnectionPool:
-    """Return a connection pool for one service, without retries."""
+    """Return a pool of up to ``size`` connections, without retries."""
     return urllib3.connection_from_url(
         base_url,
         maxsize=size,
@@ -26,7 +26,7 @@
 
 
 class ServiceError(Exception):
-    """The service did not answer, or with an error status.
+    """The service did not respond, or responded with an error status.
 
     ``sent`` is False only if the request cannot have reached it.
     """
@@ -45,10 +45,13 @@
     read_timeout: float = READ_TIMEOUT_S,
     headers: dict[str, str] | None = None,
 ) -> typing.Any:
-    """Call a JSON service and return its decoded answer."""
+    """Send a request and return the decoded JSON response.
+
+    Raises ServiceError.
+    """
     data = None if body is None else orjson.dumps(body)
     try:
-        answer = connections.request(
+        response = connections.request(
             method,
             path,
             body=data,
@@ -59,15 +62,15 @@
         )
     except urllib3.exceptions.HTTPError as exc:
         raise ServiceError(str(exc), sent=may_have_been_sent(exc)) from exc
-    if answer.status >= 400:
+    if response.status >= 400:
         raise ServiceError(
-            f'{method} {path} answered {answer.status}', sent=True
+            f'{method} {path} returned status {response.status}', sent=True
         )
-    return orjson.loads(answer.data)
+    return orjson.loads(response.data)
 
 
 def may_have_been_sent(exc: urllib3.exceptions.HTTPError) -> bool:
-    """Return whether a request that failed so may have reached its peer."""
+    """Return whether a request that failed with ``exc`` may have arrived."""
     reason = getattr(exc, 'reason', None) or exc
     return not isinstance(
         reason,
--- a/src/aspenfold/_internal/network/http1_client.py
+++ b/src/aspenfold/_internal/network/http1_client.py
@@ -1,7 +1,4 @@
-"""One HTTP/1.1 connection to a server, on the process's own loop.
-
-The parser is h11; this module moves bytes between it and a socket.
-"""
+"""HTTP/1.1 client connections on asyncio, parsed by h11."""
 
 import asyncio
 import collections
@@ -11,31 +8,33 @@
 import h11
 
 MAX_BUFFERED_BYTES = 262_144
-"""Bytes received and not yet read at which reading pauses."""
+"""Reading from the socket pauses while more unread bytes are buffered."""
 
 MAX_HEAD_BYTES = 65_536
-"""Largest head of an answer; larger ones count as broken."""
+"""Responses whose status line and headers are larger are rejected."""
 
 TCP_USER_TIMEOUT_MS = 4_000
-"""How long sent bytes may stay unacknowledged: over the 1.5 s for which
-endpoints stall, under the 8 s that callers wait."""
+"""The connection is reset if sent bytes stay unacknowledged for longer.
+
+Longer than an endpoint may stall, shorter than callers wait.
+"""
 
 Headers = list[tuple[bytes, bytes]]
 
 ResponseHead = h11.Response
-"""Status and headers of an answer, see h11."""
+"""Status and headers of a response."""
 
 
 class ConnectionLost(Exception):
-    """The connection ended, or what came on it is not HTTP."""
+    """The connection ended early, or the peer sent invalid HTTP."""
 
 
 class NotConnected(Exception):
-    """No connection was made, so nothing was sent on it."""
+    """The connection could not be opened, so nothing was sent."""
 
 
 class Connection(asyncio.Protocol):
-    """Sends requests one after the other and gives their answers."""
+    """A connection that carries one request at a time."""
 
     def __init__(self) -> None:
         self._parser = h11.Connection(
@@ -45,14 +44,12 @@
         self._waiter: asyncio.Future[None] | None = None
         self._received: collections.deque[bytes] = collections.deque()
         self._buffered = 0
-        self._ended = False
+        self._closed = False
         self._reset = False
         self._paused = False
 
-    # -- called by the loop ----------------------------------------------
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; bytes go out without delay."""
+        """Set the socket options of the new connection."""
         self._transport = typing.cast(asyncio.Transport, transport)
         sock = transport.get_extra_info('socket')
         if sock is not None:
@@ -64,7 +61,7 @@
             )
 
     def data_received(self, data: bytes) -> None:
-        """Keep bytes until they are asked for, up to a bound."""
+        """Buffer ``data``; pause reading if too much is buffered."""
         self._received.append(data)
         self._buffered += len(data)
         if self._buffered > MAX_BUFFERED_BYTES and self._transport is not None:
@@ -73,16 +70,16 @@
         self._wake()
 
     def eof_received(self) -> bool:
-        """The server sends no more."""
-        self._ended = True
+        """Note that the server has closed its side."""
+        self._closed = True
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone; ``exc`` tells of a reset."""
-        if exc is not None and not self._ended:
+        """Note that the connection is closed; ``exc`` is set on a reset."""
+        if exc is not None and not self._closed:
             self._reset = True
-        self._ended = True
+        self._closed = True
         self._wake()
 
     def _wake(self) -> None:
@@ -90,13 +87,11 @@
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
-    # -- for callers -----------------------------------------------------
-
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether the connection is open, idle and has no unread bytes."""
         return (
-            not self._ended
+            not self._closed
             and not self._received
             and self._parser.our_state is h11.IDLE
         )
@@ -104,27 +99,33 @@
     def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Send a whole request; ``headers`` frame the body."""
+        """Send a request; ``headers`` must include the body's length."""
         request = h11.Request(method=method, target=target, headers=headers)
         parts = [self._parser.send(request) or b'']
         if body:
             parts.append(self._parser.send(h11.Data(data=body)) or b'')
         parts.append(self._parser.send(h11.EndOfMessage()) or b'')
-        if self._transport is not None and not self._ended:
+        if self._transport is not None and not self._closed:
             self._transport.write(b''.join(parts))
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the answer, past informational ones."""
+        """Return the final response's head, skipping 1xx responses.
+
+        Raises ConnectionLost.
+        """
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
                 raise ConnectionLost(f'unexpected {event!r:.60}')
 
     async def read_data(self) -> bytes | None:
-        """Return the next bytes of the answer's body, None at its end."""
-        event = await self._next()
+        """Return the next bytes of the body, or None at its end.
+
+        Raises ConnectionLost.
+        """
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -134,24 +135,24 @@
     async def request(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> tuple[int, bytes]:
-        """Send a request; return its answer's status and whole body.
+        """Send a request and return the response's status and body.
 
-        The connection is closed if that fails, else ready for the next.
+        Closes the connection on any error.  Raises ConnectionLost.
         """
         try:
             self.send(method, target, headers, body)
             head = await self.read_head()
-            parts = []
+            chunks = []
             while (data := await self.read_data()) is not None:
-                parts.append(data)
+                chunks.append(data)
         except BaseException:
             self.close()
             raise
         self.reset_for_reuse()
-        return head.status_code, b''.join(parts)
+        return head.status_code, b''.join(chunks)
 
     def reset_for_reuse(self) -> None:
-        """Make the connection ready for the next request, if it can be."""
+        """Prepare for the next request, or close if that is impossible."""
         if (
             self._parser.our_state is h11.DONE
             and self._parser.their_state is h11.DONE
@@ -162,30 +163,36 @@
             self.close()
 
     def close(self) -> None:
-        """Close at once; a request in progress is given up."""
-        self._ended = True
+        """Close at once, aborting a request in progress."""
+        self._closed = True
         if self._transport is not None:
             self._transport.abort()
 
-    async def _next(self) -> typing.Any:
+    async def _next_event(self) -> typing.Any:
         while True:
             try:
                 event = self._parser.next_event()
             except h11.RemoteProtocolError as exc:
-                raise ConnectionLost(f'not HTTP: {exc}') from exc
+                raise ConnectionLost(
+                    f'invalid HTTP from server: {exc}'
+                ) from exc
             if event is h11.NEED_DATA:
-                await self._feed()
+                await self._feed_parser()
                 continue
             if isinstance(event, h11.ConnectionClosed):
-                raise ConnectionLost('closed before the end of the answer')
+                raise ConnectionLost(
+                    'connection closed before the end of the response'
+                )
             return event
 
-    async def _feed(self) -> None:
-        """Hand the parser more bytes, or the end of the stream."""
+    async def _feed_parser(self) -> None:
+        """Wait for bytes or the end of the stream, and pass them on."""
         while not self._received:
             if self._reset:
-                raise ConnectionLost('reset before the end of the answer')
-            if self._ended:
+                raise ConnectionLost(
+                    'connection reset before the end of the response'
+                )
+            if self._closed:
                 self._parser.receive_data(b'')
                 return
             self._waiter = asyncio.get_running_loop().create_future()
@@ -194,7 +201,7 @@
         self._buffered -= len(data)
         if self._paused and self._buffered <= MAX_BUFFERED_BYTES // 2:
             self._paused = False
-            if self._transport is not None and not self._ended:
+            if self._transport is not None and not self._closed:
                 self._transport.resume_reading()
         self._parser.receive_data(data)
 
@@ -202,9 +209,9 @@
 async def connect(
     host: str, port: int, timeout_s: float, *, local_host: str = ''
 ) -> Connection:
-    """Open a connection, or raise :class:`NotConnected`.
+    """Open a connection, from the IP address ``local_host`` if given.
 
-    It comes from the IP address ``local_host``, if that is given.
+    Raises NotConnected.
     """
     loop = asyncio.get_running_loop()
     local = (local_host, 0) if local_host else None
@@ -214,7 +221,9 @@
                 Connection, host, port, local_addr=local
             )
     except TimeoutError:
-        raise NotConnected(f'no answer in {timeout_s} s') from None
+        raise NotConnected(
+            f'connection not established within {timeout_s} s'
+        ) from None
     except OSError as exc:
         raise NotConnected(str(exc)) from exc
     return connection
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 server on the process's own loop, over the parser h11.
+"""HTTP/1.1 server on asyncio, parsed by h11.
 
-A request is read whole before it is handed on.  The task that answers
-it is cancelled as soon as the caller closes its connection, also
-before the first byte of the answer.
+The handler is called with a complete request.  Its task is cancelled
+as soon as the caller closes the connection, even if the response has
+not started.
 """
 
 import asyncio
@@ -20,25 +20,29 @@
 from aspenfold._internal.observability import events
 
 MAX_UNSENT_BYTES = 65_536
-"""Bytes that may wait for a slow reader before its answer pauses."""
+"""Writing a response pauses while more bytes wait to be sent."""
 
 SLOW_READER_TIMEOUT = datetime.timedelta(seconds=10)
-"""How long an answer may wait for its reader; over every timeout."""
+"""A caller that does not read for longer counts as disconnected.
+
+Longer than every request timeout.
+"""
 
 MAX_PIPELINED_BYTES = 65_536
-"""Bytes of a next request that may wait while one is answered."""
+"""Reading pauses while more bytes of the next request are buffered."""
 
 TCP_USER_TIMEOUT_MS = 10_000
-"""How long sent bytes may stay unacknowledged by a caller."""
+"""The connection is reset if sent bytes stay unacknowledged for longer."""
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A whole request; header names are in lower case.
+    """A complete request with lower-case header names.
 
-    ``remote_ip`` is the IP address that it came from.
+    ``connection_reused`` is True if the connection has carried an
+    earlier request; ``remote_ip`` is the peer's IP address.
     """
 
     method: bytes
@@ -50,38 +54,38 @@
     remote_ip: str = ''
 
     def header(self, name: bytes) -> bytes:
-        """Return the header's value, empty if it is absent."""
-        for known, value in self.headers:
-            if known == name:
+        """Return the first value of a header, or empty bytes."""
+        for key, value in self.headers:
+            if key == name:
                 return value
         return b''
 
 
 class CallerDisconnected(Exception):
-    """The caller closed its connection or does not read."""
+    """The caller closed its connection or stopped reading."""
 
 
 class ResponseWriter(typing.Protocol):
-    """Where the answer to one request is written."""
+    """Writes the response to one request."""
 
     @property
     def started(self) -> bool:
-        """Whether the head was sent."""
+        """Whether the status line and headers were sent."""
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head; without a length the body is chunked."""
+        """Send the head; without a content-length the body is chunked."""
 
     def write(self, body: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body."""
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
 
     def abort(self) -> None:
-        """End the connection so that the answer looks incomplete."""
+        """Close the connection, leaving the response incomplete."""
 
     async def drain(self) -> None:
-        """Wait until the caller has read enough.
+        """Wait until the write buffer is below its limit.
 
         Raises CallerDisconnected.
         """
@@ -91,7 +95,7 @@
 
 
 class ConnectionOwner(typing.Protocol):
-    """What a connection needs of its server."""
+    """The server as its connections use it."""
 
     clock: clock_module.Clock
     handler: RequestHandler
@@ -99,11 +103,11 @@
     connections: 'set[ServerConnection]'
 
     def limits(self) -> plan.Limits:
-        """Return the limits that are in force now."""
+        """Return the current size limits and timeouts."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection: requests in, answers out, in order."""
+    """A caller's connection; serves its requests one after the other."""
 
     def __init__(self, *, owner: ConnectionOwner) -> None:
         self._owner = owner
@@ -113,10 +117,10 @@
         self._transport: asyncio.Transport | None = None
         self._head: h11.Request | None = None
         self._body: list[bytes] = []
-        self._body_bytes = 0
+        self._body_size = 0
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._served = 0
+        self._request_count = 0
         self._receiving = False
         self._writable = asyncio.Event()
         self._writable.set()
@@ -129,10 +133,8 @@
             max_incomplete_event_size=self._limits.header_bytes + 1024,
         )
 
-    # -- called by the loop ----------------------------------------------
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for the first request."""
+        """Set the socket options and start the idle timer."""
         self._transport = typing.cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         sock = transport.get_extra_info('socket')
@@ -147,26 +149,26 @@
         if peer is not None:
             self._remote_ip = peer[0]
         self._owner.connections.add(self)
-        self._wait(self._limits.idle_timeout)
+        self._start_timer(self._limits.idle_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; a request that is complete starts its task."""
+        """Parse ``data`` and start the handler of a complete request."""
         self._parser.receive_data(data)
         if self._task is not None:
             if len(self._parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
-                self._pause()
+                self._pause_reading()
             return
         if not self._receiving:
             self._receiving = True
-            self._wait(self._limits.header_timeout)
+            self._start_timer(self._limits.header_timeout)
         self._parse()
 
     def eof_received(self) -> bool:
-        """The caller sends no more: it has left."""
+        """Treat a half-closed connection as closed."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller is gone; its request is given up."""
+        """Cancel the request in progress."""
         self._owner.connections.discard(self)
         self._stop_timer()
         self._writable.set()
@@ -175,64 +177,62 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """The caller reads slowly."""
+        """Make :meth:`drain` wait."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """The caller has read enough."""
+        """Let :meth:`drain` return."""
         self._writable.set()
 
-    # -- requests --------------------------------------------------------
-
     def _parse(self) -> None:
         try:
             self._parse_events()
         except h11.RemoteProtocolError as exc:
-            self._refuse(exc.error_status_hint or 400)
+            self._reject(exc.error_status_hint or 400)
 
     def _parse_events(self) -> None:
         while self._task is None and self._transport is not None:
             event = self._parser.next_event()
             if event is h11.NEED_DATA:
-                self._continue_if_asked()
+                self._send_continue_if_expected()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
             if isinstance(event, h11.Request):
-                self._take_head(event)
+                self._on_head(event)
             elif isinstance(event, h11.Data):
-                self._take_body(event.data)
+                self._on_body(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self._start()
+                self._start_handler()
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _on_head(self, head: h11.Request) -> None:
         size = sum(len(n) + len(v) + 4 for n, v in head.headers)
         if size + len(head.target) > self._limits.header_bytes:
-            self._refuse(431)
+            self._reject(431)
             return
         self._head = head
         self._body = []
-        self._body_bytes = 0
+        self._body_size = 0
         for name, value in head.headers:
-            too_long = (
+            too_large = (
                 name == b'content-length'
                 and int(value) > self._limits.body_bytes
             )
-            if too_long:
-                self._refuse(413)
-        self._wait(self._limits.idle_timeout)
+            if too_large:
+                self._reject(413)
+        self._start_timer(self._limits.idle_timeout)
 
-    def _take_body(self, data: bytes) -> None:
+    def _on_body(self, data: bytes) -> None:
         self._body.append(bytes(data))
-        self._body_bytes += len(data)
-        if self._body_bytes > self._limits.body_bytes:
-            self._refuse(413)
+        self._body_size += len(data)
+        if self._body_size > self._limits.body_bytes:
+            self._reject(413)
 
-    def _continue_if_asked(self) -> None:
+    def _send_continue_if_expected(self) -> None:
         if self._parser.they_are_waiting_for_100_continue:
             self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _start(self) -> None:
+    def _start_handler(self) -> None:
         self._stop_timer()
         head = self._head
         assert head is not None
@@ -242,15 +242,15 @@
             headers=list(head.headers),
             body=b''.join(self._body),
             received_at=self._owner.clock.now(),
-            connection_reused=self._served > 0,
+            connection_reused=self._request_count > 0,
             remote_ip=self._remote_ip,
         )
         self._body = []
         self.started = False
-        self._served += 1
-        self._task = self._loop.create_task(self._answer(request))
+        self._request_count += 1
+        self._task = self._loop.create_task(self._handle(request))
 
-    async def _answer(self, request: Request) -> None:
+    async def _handle(self, request: Request) -> None:
         try:
             await self._owner.handler(request, self)
         except CallerDisconnected:
@@ -260,16 +260,16 @@
             raise
         except Exception as exc:
             events.emit(events.Event.UNEXPECTED, error=repr(exc))
-            self._fail()
+            self._send_internal_error()
         finally:
             self._task = None
         self._next_request()
 
-    def _fail(self) -> None:
+    def _send_internal_error(self) -> None:
         if self.started:
             self.abort()
             return
-        self._short_answer(500)
+        self._send_short_response(500)
 
     def _next_request(self) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -283,19 +283,19 @@
         parser.start_next_cycle()
         self._limits = self._owner.limits()
         self._receiving = bool(parser.trailing_data[0])
-        self._wait(self._limits.idle_timeout)
+        self._start_timer(self._limits.idle_timeout)
         self._transport.resume_reading()
         self._parse()
 
-    def _refuse(self, status: int) -> None:
-        """Refuse what is not a proper request, and close."""
+    def _reject(self, status: int) -> None:
+        """Answer an invalid request with ``status``, and close."""
         self._stop_timer()
         if not self.started:
-            self._short_answer(status)
+            self._send_short_response(status)
         if self._transport is not None:
             self._transport.close()
 
-    def _short_answer(self, status: int) -> None:
+    def _send_short_response(self, status: int) -> None:
         phrase = http.HTTPStatus(status).phrase.encode()
         headers = [
             (b'content-length', str(len(phrase)).encode()),
@@ -307,19 +307,17 @@
             self.write(phrase)
             self.end()
         except h11.LocalProtocolError:
-            # The answer had begun, or the request is beyond repair.
+            # h11 accepts no response in this state.
             self.abort()
 
-    def _pause(self) -> None:
+    def _pause_reading(self) -> None:
         if self._transport is not None:
             self._transport.pause_reading()
 
-    # -- timers ----------------------------------------------------------
-
-    def _wait(self, limit: datetime.timedelta) -> None:
+    def _start_timer(self, timeout: datetime.timedelta) -> None:
         self._stop_timer()
         self._timer = self._loop.call_later(
-            limit.total_seconds(), self._timed_out
+            timeout.total_seconds(), self._on_timeout
         )
 
     def _stop_timer(self) -> None:
@@ -327,14 +325,14 @@
             self._timer.cancel()
             self._timer = None
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         if self._receiving:
-            self._refuse(408)
+            self._reject(408)
         elif self._transport is not None:
             self._transport.close()
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head; without a length the body is chunked."""
+        """Send the head; without a content-length the body is chunked."""
         reason = http.HTTPStatus(status).phrase.encode()
         if self._owner.closing:
             headers = [*headers, (b'connection', b'close')]
@@ -344,20 +342,20 @@
         )
 
     def write(self, body: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body."""
         self._send(h11.Data(data=body))
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
         self._send(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """End the connection so that the answer looks incomplete."""
+        """Close the connection, leaving the response incomplete."""
         if self._transport is not None:
             self._transport.close()
 
     async def drain(self) -> None:
-        """Wait until the caller has read enough.
+        """Wait until the write buffer is below its limit.
 
         Raises CallerDisconnected.
         """
@@ -374,25 +372,28 @@
     def _send(self, event: typing.Any) -> None:
         data = self._parser.send(event)
         transport = self._transport
-        # A write that failed shows here before connection_lost is called.
+        # After a failed write the transport is closing, but
+        # connection_lost has not been called yet.
         if data and transport is not None and not transport.is_closing():
             transport.write(data)
 
-    # -- for the server --------------------------------------------------
-
     @property
     def idle(self) -> bool:
-        """Whether no request is being read or answered."""
+        """Whether no request is being received or served."""
         return self._task is None and not self._receiving
 
     def close_if_idle(self) -> None:
-        """Close a kept connection on which no request is under way."""
+        """Close the connection if it is idle."""
         if self.idle and self._transport is not None:
             self._transport.close()
 
 
 class Server:
-    """Listens on one address."""
+    """Accepts connections on one address.
+
+    Set ``closing`` to have responses ask callers to close their
+    connections.
+    """
 
     def __init__(
         self,
@@ -409,7 +410,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port, which may have been given as 0."""
+        """Start listening; return the port, chosen freely if given as 0."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(owner=self),
@@ -421,15 +422,15 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def close_idle(self) -> None:
-        """Close connections that wait for a next request."""
+        """Close the connections that are idle."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
 
 ACCEPT_BACKLOG = 512
-"""Connections that may wait to be accepted: a burst of all callers."""
+"""Connections that the system queues until they are accepted."""
--- a/src/aspenfold/_internal/network/http_api.py
+++ b/src/aspenfold/_internal/network/http_api.py
@@ -1,9 +1,8 @@
-"""The callers' HTTP interface, served by CherryPy's threads.
+"""The entry's HTTP API, served by CherryPy.
 
-CherryPy's workers are threads while the house style asks for one loop
-on one thread.  They are only an edge: a worker hands a typed request to
-the loop, takes the answer's parts from a bounded queue and writes them
-out.  It decides nothing.
+CherryPy's worker threads make no decisions.  A worker passes the
+request to the event loop, and sends the response parts that it takes
+from a bounded queue.
 """
 
 from collections import abc
@@ -24,28 +23,30 @@
 from aspenfold._internal.network import response_queue
 
 DISCONNECT_CHECK_INTERVAL_S = 1.0
-"""Seconds between two looks whether a silent answer's caller is there."""
+"""Seconds without a response part after which a stream is probed.
+
+The probe shows whether the caller is still connected.
+"""
 
 SSE_CONTENT_TYPE = 'text/event-stream'
 JSON_CONTENT_TYPE = 'application/json'
 ACCEPT_BACKLOG = 512
-"""Connections that may wait to be accepted.
+"""Connections that the system queues until they are accepted.
 
-CherryPy's own 5 let the system reset some of 24 callers that came at
-once, as the benchmark of real processes found.
+CherryPy's default of 5 is too small for simultaneous callers.
 """
 
 SOCKET_TIMEOUT_S = 10
-"""Seconds that a caller may keep a connection without a byte."""
+"""Seconds after which a connection without traffic is closed."""
 
 
 class EntryLoop(typing.Protocol):
-    """What the edge asks of the loop; all calls are thread-safe."""
+    """Thread-safe access to the entry on the event loop."""
 
     def submit(
         self, raw: request_validator.RawRequest
     ) -> response_queue.ResponseQueue:
-        """Hand over a request; its answer comes on the response."""
+        """Submit a request; its response arrives in the returned queue."""
 
     def caller_left(self, request_id: str) -> None:
         """The caller closed its connection."""
@@ -53,14 +54,14 @@
     def admin(
         self, name: str, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
-        """Run one of the small synchronous requests on the loop."""
+        """Run the administrative request ``name`` and return its result."""
 
     def metrics_text(self) -> bytes:
-        """Return the metrics as text."""
+        """Return the metrics in the Prometheus text format."""
 
 
 class HttpApi:
-    """The routes; see ``docs/API.md``."""
+    """Routes requests; see ``docs/API.md``."""
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> typing.Any:
-        """Serve every request."""
+        """Serve a request on any path."""
         request = cherrypy.request
         headers = {k.lower(): v for k, v in request.headers.items()}
         request_id = _request_id(headers)
@@ -83,7 +84,7 @@
         try:
             return self._route(request.method, path, headers, request_id)
         except exceptions.AspenfoldError as exc:
-            return _error(exc.failure, request_id)
+            return _error_response(exc.failure, request_id)
 
     default._cp_config = {'response.stream': True}
 
@@ -96,21 +97,23 @@
     ) -> typing.Any:
         match (method, *path):
             case ('POST', 'v1', 'completions'):
-                return self._call(
+                return self._serve_call(
                     '',
                     request_validator.COMPLETIONS_OPERATION,
                     headers,
                     request_id,
                 )
             case ('POST', 'services', service, operation):
-                return self._call(service, operation, headers, request_id)
+                return self._serve_call(
+                    service, operation, headers, request_id
+                )
             case ('POST', 'v1', 'tickets'):
-                body = self._json_body(headers)
-                return _json(
+                body = self._read_json(headers)
+                return _json_response(
                     self._loop.admin('ticket', {**body, 'headers': headers})
                 )
             case ('GET', 'health', 'live'):
-                return _json({'live': True})
+                return _json_response({'live': True})
             case ('GET', 'health', 'ready'):
                 return self._ready()
             case ('GET', 'metrics'):
@@ -120,16 +123,16 @@
                 request_validator.check_operator(
                     headers, self._cfg.operator_key
                 )
-                return _json(self._loop.admin('status', {}))
+                return _json_response(self._loop.admin('status', {}))
             case ('POST', 'admin', 'explain'):
                 request_validator.check_operator(
                     headers, self._cfg.operator_key
                 )
-                body = self._json_body(headers)
-                return _json(self._loop.admin('explain', body))
+                body = self._read_json(headers)
+                return _json_response(self._loop.admin('explain', body))
         raise request_validator.request_error(
             exceptions.Code.NOT_FOUND,
-            f'there is nothing at {method} /{"/".join(path)}',
+            f'no route matches {method} /{"/".join(path)}',
             field='path',
             remedy='see docs/API.md for the routes',
         )
@@ -138,11 +141,9 @@
         status = self._loop.admin('ready', {})
         if not status['ready']:
             cherrypy.response.status = 503
-        return _json(status)
+        return _json_response(status)
 
-    # -- calls -----------------------------------------------------------
-
-    def _call(
+    def _serve_call(
         self,
         service: str,
         operation: str,
@@ -153,20 +154,20 @@
             service=service,
             operation=operation,
             headers=headers,
-            body=self._body(headers),
+            body=self._read_body(headers),
             received_at=self._clock.now(),
             request_id=request_id,
         )
         response = self._loop.submit(raw)
-        first = self._take(response)
+        first = self._next_part(response)
         if isinstance(first, response_queue.Failed):
-            return _error(first.failure, request_id)
+            return _error_response(first.failure, request_id)
         assert isinstance(first, frames.Head)
         if first.content_type.startswith(SSE_CONTENT_TYPE):
-            return self._stream(response, first, request_id)
-        return self._plain(response, first, request_id)
+            return self._streamed_response(response, first, request_id)
+        return self._buffered_response(response, first, request_id)
 
-    def _plain(
+    def _buffered_response(
         self,
         response: response_queue.ResponseQueue,
         head: frames.Head,
@@ -174,9 +175,9 @@
     ) -> bytes:
         parts: list[bytes] = []
         while True:
-            part = self._take(response)
+            part = self._next_part(response)
             if isinstance(part, response_queue.Failed):
-                return _error(part.failure, request_id)
+                return _error_response(part.failure, request_id)
             if isinstance(part, response_queue.Complete):
                 break
             if isinstance(part, response_queue.Chunk):
@@ -186,22 +187,22 @@
         cherrypy.response.headers['Aspenfold-Outcome'] = 'ran'
         return b''.join(parts)
 
-    def _stream(
+    def _streamed_response(
         self,
         response: response_queue.ResponseQueue,
         head: frames.Head,
         request_id: str,
     ) -> abc.Iterator[bytes]:
-        first = self._take(response)
+        first = self._next_part(response)
         if isinstance(first, response_queue.Failed):
-            return iter((_error(first.failure, request_id),))
+            return iter((_error_response(first.failure, request_id),))
         cherrypy.response.status = head.status
         cherrypy.response.headers['Content-Type'] = SSE_CONTENT_TYPE
         cherrypy.response.headers['Cache-Control'] = 'no-store'
         cherrypy.response.headers['Aspenfold-Outcome'] = 'ran'
-        return self._events(response, first, request_id)
+        return self._sse_events(response, first, request_id)
 
-    def _events(
+    def _sse_events(
         self,
         response: response_queue.ResponseQueue,
         first: response_queue.Part,
@@ -213,8 +214,8 @@
             while not ended:
                 match part:
                     case None:
-                        # A comment line finds out whether the caller is
-                        # still there while the engine is silent.
+                        # Sending a comment line fails if the caller has
+                        # disconnected.
                         yield b': waiting\n\n'
                     case response_queue.Chunk():
                         yield _sse_items(part)
@@ -231,7 +232,7 @@
             if not ended:
                 self._loop.caller_left(request_id)
 
-    def _take(
+    def _next_part(
         self, response: response_queue.ResponseQueue
     ) -> response_queue.Part:
         while True:
@@ -239,32 +240,30 @@
             if part is not None:
                 return part
 
-    # -- bodies ----------------------------------------------------------
-
-    def _body(self, headers: abc.Mapping[str, str]) -> bytes:
+    def _read_body(self, headers: abc.Mapping[str, str]) -> bytes:
         limit = self._cfg.max_body_bytes
         length = headers.get('content-length', '')
         if length.isdigit() and int(length) > limit:
             cherrypy.response.headers['Connection'] = 'close'
-            raise _too_large(limit)
+            raise _body_too_large(limit)
         data: bytes = cherrypy.request.rfile.read(limit + 1)
         if len(data) > limit:
             cherrypy.response.headers['Connection'] = 'close'
-            raise _too_large(limit)
+            raise _body_too_large(limit)
         return data
 
-    def _json_body(
+    def _read_json(
         self, headers: abc.Mapping[str, str]
     ) -> dict[str, typing.Any]:
-        return request_validator.parse_object(self._body(headers))
+        return request_validator.parse_object(self._read_body(headers))
 
 
-def _unexpected(
+def _unexpected_error_page(
     status: str, message: str, traceback: str, version: str
 ) -> str:
-    """Return the body for an error that no route has caught.
+    """Return the body for an error that no route caught.
 
-    CherryPy's own pages are HTML and would not tell the outcome.
+    Replaces CherryPy's HTML pages, which do not state the outcome.
     """
     failure = exceptions.Failure(
         code=exceptions.Code.INTERNAL,
@@ -279,7 +278,7 @@
     return json.dumps(error_document(failure, request_id))
 
 
-def _too_large(limit: int) -> exceptions.RequestError:
+def _body_too_large(limit: int) -> exceptions.RequestError:
     return request_validator.request_error(
         exceptions.Code.BODY_TOO_LARGE,
         f'the body is larger than {limit} bytes',
@@ -289,16 +288,15 @@
 
 
 def _request_id(headers: abc.Mapping[str, str]) -> str:
-    # A random part of our own keeps two callers that choose the same id
-    # apart.
+    # A random suffix keeps ids unique if callers choose the same one.
     given = headers.get(request_validator.REQUEST_ID_HEADER, '')
-    own = uuid.uuid4().hex
+    unique = uuid.uuid4().hex
     if not given or not given.isprintable():
-        return own
-    return f'{given[: request_validator.MAX_REQUEST_ID_LENGTH]}-{own[:8]}'
+        return unique
+    return f'{given[: request_validator.MAX_REQUEST_ID_LENGTH]}-{unique[:8]}'
 
 
-def _json(value: object) -> bytes:
+def _json_response(value: object) -> bytes:
     cherrypy.response.headers['Content-Type'] = JSON_CONTENT_TYPE
     return json.dumps(value).encode()
 
@@ -306,7 +304,7 @@
 def error_document(
     failure: exceptions.Failure, request_id: str
 ) -> dict[str, typing.Any]:
-    """Return the JSON document of an error."""
+    """Return the JSON object that describes a failure to the caller."""
     return {
         'error': {
             'code': int(failure.code),
@@ -320,7 +318,7 @@
     }
 
 
-def _error(failure: exceptions.Failure, request_id: str) -> bytes:
+def _error_response(failure: exceptions.Failure, request_id: str) -> bytes:
     response = cherrypy.response
     response.status = failure.http_status
     response.headers['Aspenfold-Outcome'] = failure.outcome.value
@@ -328,7 +326,7 @@
     if failure.retry_after is not None:
         seconds = math.ceil(failure.retry_after.total_seconds())
         response.headers['Retry-After'] = str(max(1, seconds))
-    return _json(error_document(failure, request_id))
+    return _json_response(error_document(failure, request_id))
 
 
 def _sse_items(chunk: response_queue.Chunk) -> bytes:
@@ -339,8 +337,7 @@
 
 
 def _sse_end(total: int) -> bytes:
-    # Its id is the count of items before it, so that a caller can check
-    # that none is missing.
+    # The id is the number of items, so callers can detect missing ones.
     return b'id: %d\ndata: [DONE]\n\n' % total
 
 
@@ -350,14 +347,17 @@
 
 
 class HttpServer:
-    """CherryPy's server around the API."""
+    """Runs CherryPy's server for an :class:`HttpApi`."""
 
     def __init__(self, *, api: HttpApi, cfg: settings.EntrySettings) -> None:
         self._api = api
         self._cfg = cfg
 
     def start(self) -> int:
-        """Listen and return the port."""
+        """Start listening and return the port.
+
+        Raises SettingsError if the port is unavailable.
+        """
         logging.getLogger('cherrypy').setLevel(logging.CRITICAL)
         cfg = self._cfg
         cherrypy.config.update(
@@ -373,7 +373,7 @@
                 'server.max_request_body_size': 0,
                 'request.process_request_body': False,
                 'request.show_tracebacks': False,
-                'error_page.default': _unexpected,
+                'error_page.default': _unexpected_error_page,
             }
         )
         cherrypy.tree.mount(self._api, '/')
@@ -387,5 +387,5 @@
         return int(cherrypy.server.httpserver.bind_addr[1])
 
     def stop(self) -> None:
-        """Close the server; requests under way are waited for before."""
+        """Stop the server; let requests finish before calling this."""
         cherrypy.engine.exit()
--- a/src/aspenfold/_internal/network/listen.py
+++ b/src/aspenfold/_internal/network/listen.py
@@ -1,4 +1,4 @@
-"""Listening sockets for our RPC servers."""
+"""Starts RPC servers on their configured address."""
 
 import socket
 
@@ -13,7 +13,7 @@
 ) -> int:
     """Start ``server`` on ``address`` and return the port.
 
-    ``field`` names the setting in the error if that cannot be done.
+    Raises SettingsError, naming the setting ``field``, if it cannot listen.
     """
     try:
         sock = socket.create_server((str(address.address), address.port))
--- a/src/aspenfold/_internal/network/log_client.py
+++ b/src/aspenfold/_internal/network/log_client.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log by its HTTP protocol."""
+"""HTTP client of the platform's append-only log."""
 
 import typing
 
@@ -10,11 +10,11 @@
 LONG_POLL_WAIT_MS = 2000
 MAX_CONNECTIONS = 8
 READ_TIMEOUT_MARGIN_S = 3.0
-"""Seconds that a long poll may take beyond its wait."""
+"""Seconds that a response may take beyond the wait of a long poll."""
 
 
 class LogClient:
-    """Appends to and reads from streams; blocks, so run it in a thread."""
+    """Appends to and reads streams; its methods block."""
 
     def __init__(self, *, base_url: str) -> None:
         self._pool = http.connection_pool(base_url, size=MAX_CONNECTIONS)
@@ -22,7 +22,7 @@
     def append(self, stream: str, record: records.Record) -> int:
         """Append a record and return its offset.
 
-        Raises LogUnavailable; the append may then have taken effect.
+        Raises LogUnavailable; the record may still have been appended.
         """
         body = record.model_dump(mode='json')
         return int(self._call('POST', stream, '', body)['offset'])
@@ -30,7 +30,10 @@
     def read(
         self, stream: str, start: int, *, wait_ms: int = 0
     ) -> reader.Page:
-        """Read from offset ``start``, waiting for news if there is none."""
+        """Return the records from offset ``start``, up to a page.
+
+        Wait up to ``wait_ms`` for a first record.  Raises LogUnavailable.
+        """
         query = f'?from={start}&wait_ms={wait_ms}'
         data = self._call('GET', stream, query, None, wait_ms / 1000)
         return reader.Page(
@@ -43,7 +46,10 @@
         )
 
     def read_all(self, stream: str, start: int = 1) -> list[reader.Page]:
-        """Read every page from ``start`` to the end of the stream."""
+        """Return all pages from offset ``start`` to the end.
+
+        Raises LogUnavailable.
+        """
         pages = []
         while True:
             page = self.read(stream, start)
@@ -58,7 +64,7 @@
         stream: str,
         query: str,
         body: object,
-        wait: float = 0.0,
+        wait_s: float = 0.0,
     ) -> typing.Any:
         try:
             return http.call_json(
@@ -66,9 +72,9 @@
                 method,
                 f'/streams/{stream}{query}',
                 body=body,
-                read_timeout=wait + READ_TIMEOUT_MARGIN_S,
+                read_timeout=wait_s + READ_TIMEOUT_MARGIN_S,
             )
         except http.ServiceError as exc:
             raise exceptions.LogUnavailable(
-                f'the log service did not answer: {exc}'
+                f'the log service did not respond: {exc}'
             ) from exc
--- a/src/aspenfold/_internal/network/port_errors.py
+++ b/src/aspenfold/_internal/network/port_errors.py
@@ -1,4 +1,4 @@
-"""The error of a server that cannot listen where its settings say."""
+"""Error for a server that cannot listen on its configured address."""
 
 import os
 
@@ -8,7 +8,7 @@
 def port_unavailable(
     *, where: str, field: str, exc: Exception
 ) -> exceptions.SettingsError:
-    """Return the error for address ``where``, which ``field`` names."""
+    """Return the error for address ``where`` in the setting ``field``."""
     reason = str(exc)
     if isinstance(exc, OSError) and exc.errno:
         reason = os.strerror(exc.errno)
--- a/src/aspenfold/_internal/network/request_validator.py
+++ b/src/aspenfold/_internal/network/request_validator.py
@@ -1,4 +1,4 @@
-"""Turns a caller's HTTP request into a validated call, or refuses it."""
+"""Authenticates and validates callers' HTTP requests."""
 
 import collections
 from collections import abc
@@ -31,10 +31,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RawRequest:
-    """A request as it came in; header names are in lower case.
+    """A request that is not yet validated; header names are lower-case.
 
-    ``service`` and ``operation`` come from the path; an empty service
-    is named by the body's ``model``.
+    ``service`` and ``operation`` come from the path.  If ``service`` is
+    empty, the body's ``model`` names the service.
     """
 
     service: str
@@ -48,7 +48,10 @@
 def request_error(
     code: Code, detail: str, *, field: str, remedy: str
 ) -> exceptions.RequestError:
-    """Return the error for a bad request."""
+    """Return an error to raise for an invalid request.
+
+    ``field`` names the wrong part, ``remedy`` says how to correct it.
+    """
     return exceptions.RequestError(
         exceptions.Failure(
             code=code, detail=detail, field=field, remedy=remedy
@@ -57,7 +60,7 @@
 
 
 class RequestValidator:
-    """Checks requests against the fleet in force."""
+    """Validates requests against a fleet; set it before the first call."""
 
     def __init__(self) -> None:
         self._fleet: fleet_model.Fleet | None = None
@@ -67,7 +70,7 @@
         )
 
     def set_fleet(self, fleet: fleet_model.Fleet) -> None:
-        """Check against ``fleet`` from now on."""
+        """Validate against ``fleet`` from now on."""
         if fleet is self._fleet:
             return
         self._fleet = fleet
@@ -84,33 +87,38 @@
     def authenticate(
         self, headers: abc.Mapping[str, str]
     ) -> fleet_model.Organisation:
-        """Return the organisation whose credential the request carries."""
+        """Return the organisation whose credential the request carries.
+
+        Raises RequestError.
+        """
         value = headers.get(AUTHORIZATION_HEADER, '')
         secret = value.removeprefix(BEARER_PREFIX)
-        # The look-up is by the hash, which tells a caller who measures
-        # its time nothing of use about the secret.
+        # A lookup by hash does not leak the secret through its timing.
         digest = hashlib.sha256(secret.encode()).hexdigest()
         organisation = self._by_hash.get(digest)
         if value.startswith(BEARER_PREFIX) and organisation is not None:
             return organisation
         raise request_error(
             Code.UNAUTHENTICATED,
-            'no known organisation has this credential',
+            'no organisation has this credential',
             field='Authorization',
             remedy='send "Authorization: Bearer <credential>" of an '
             'organisation in the fleet',
         )
 
     def validate(self, raw: RawRequest) -> call_module.Call:
-        """Return the validated call; raises RequestError."""
+        """Return the call that a request describes.
+
+        Raises RequestError if the request is invalid or not allowed.
+        """
         organisation = self.authenticate(raw.headers)
         body = parse_object(raw.body)
-        name = raw.service or _model(body)
-        operation = self._operation(name, raw.operation)
-        rule = self._rule(organisation.name, name, operation.name)
-        key = raw.headers.get(IDEMPOTENCY_KEY_HEADER, '')
-        _check_key(key, operation)
-        wait = _deadline(raw.headers, rule)
+        name = raw.service or _model_name(body)
+        operation = self._find_operation(name, raw.operation)
+        rule = self._find_rule(organisation.name, name, operation.name)
+        idempotency_key = raw.headers.get(IDEMPOTENCY_KEY_HEADER, '')
+        _check_idempotency_key(idempotency_key, operation)
+        timeout = _timeout(raw.headers, rule)
         return call_module.Call(
             call_id=raw.request_id,
             organisation=organisation.name,
@@ -120,32 +128,32 @@
             repeatable=operation.repeatable,
             streamed=operation.streamed and body.get('stream') is True,
             body=raw.body,
-            deadline=raw.received_at + wait,
+            deadline=raw.received_at + timeout,
             received_at=raw.received_at,
-            key=key,
+            key=idempotency_key,
         )
 
-    def _operation(
+    def _find_operation(
         self, service: str, operation: str
     ) -> fleet_model.Operation:
         if service not in self._operations:
             raise request_error(
                 Code.UNKNOWN_SERVICE,
-                f'there is no service {service!r}',
+                f'service {service!r} does not exist',
                 field='service',
                 remedy=f'use one of {sorted(self._operations)}',
             )
-        known = self._operations[service]
-        if operation not in known:
+        operations = self._operations[service]
+        if operation not in operations:
             raise request_error(
                 Code.UNKNOWN_OPERATION,
                 f'{service} has no operation {operation!r}',
                 field='operation',
-                remedy=f'use one of {sorted(known)}',
+                remedy=f'use one of {sorted(operations)}',
             )
-        return known[operation]
+        return operations[operation]
 
-    def _rule(
+    def _find_rule(
         self, organisation: str, service: str, operation: str
     ) -> fleet_model.Rule:
         assert self._fleet is not None
@@ -154,20 +162,23 @@
             return rule
         raise request_error(
             Code.NO_RULE,
-            f'no rule lets {organisation} call {service}/{operation}',
+            f'no rule allows {organisation} to call {service}/{operation}',
             field='rules',
-            remedy='ask the operators for a rule that matches',
+            remedy='ask the operators to add a matching rule',
         )
 
 
 def parse_object(body: bytes) -> dict[str, typing.Any]:
-    """Return the JSON object in ``body``; raises RequestError."""
+    """Return the JSON object in ``body``.
+
+    Raises RequestError if it is not one JSON object.
+    """
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
         raise request_error(
             Code.BAD_JSON,
-            f'the body is not JSON: {exc}',
+            f'the body is not valid JSON: {exc}',
             field='body',
             remedy='send one JSON object',
         ) from None
@@ -181,37 +192,37 @@
     )
 
 
-def _model(body: dict[str, typing.Any]) -> str:
+def _model_name(body: dict[str, typing.Any]) -> str:
     value = body.get('model')
     if isinstance(value, str) and value:
         return value
     raise request_error(
         Code.BAD_REQUEST,
-        'the body names no model',
+        'the body does not name a model',
         field='model',
         remedy='set "model" to the name of a model service',
     )
 
 
-def _check_key(key: str, operation: fleet_model.Operation) -> None:
+def _check_idempotency_key(key: str, operation: fleet_model.Operation) -> None:
     if not key and not operation.repeatable:
         raise request_error(
             Code.KEY_REQUIRED,
-            f'{operation.name} must not be repeated, so it needs a key',
+            f'{operation.name} is not repeatable and requires a key',
             field='Idempotency-Key',
-            remedy='send an Idempotency-Key of your own, and the same '
-            'one when you submit again',
+            remedy='send a unique Idempotency-Key, and the same one when '
+            'you retry',
         )
     if len(key) > MAX_KEY_LENGTH or not key.isprintable():
         raise request_error(
             Code.BAD_HEADER,
-            f'the key is longer than {MAX_KEY_LENGTH} printable characters',
+            f'the key must be at most {MAX_KEY_LENGTH} printable characters',
             field='Idempotency-Key',
             remedy='use a UUID',
         )
 
 
-def _deadline(
+def _timeout(
     headers: abc.Mapping[str, str], rule: fleet_model.Rule
 ) -> datetime.timedelta:
     text = headers.get(DEADLINE_HEADER)
@@ -220,9 +231,9 @@
     if not text.isascii() or not text.isdigit() or len(text) > 9:
         raise request_error(
             Code.BAD_HEADER,
-            f'{text!r:.40} is not a number of milliseconds',
+            f'{text!r:.40} is not a valid number of milliseconds',
             field='Aspenfold-Deadline-Ms',
-            remedy=f'send a whole number from 1 to {rule.max_deadline_ms}',
+            remedy=f'send an integer from 1 to {rule.max_deadline_ms}',
         )
     value = min(int(text), rule.max_deadline_ms)
     return value * clock.MILLISECOND
@@ -241,19 +252,19 @@
             field='Aspenfold-Priority',
             remedy=f'use one of {[p.value for p in PRIORITY_ORDER]}',
         )
-    asked = fleet_model.Priority(text)
-    # A caller may ask for less urgency than its rule gives, never more.
-    return max(asked, rule.priority, key=PRIORITY_ORDER.index)
+    requested = fleet_model.Priority(text)
+    # Callers may lower the priority that their rule gives, not raise it.
+    return max(requested, rule.priority, key=PRIORITY_ORDER.index)
 
 
 def check_operator(headers: abc.Mapping[str, str], operator_key: str) -> None:
-    """Raise RequestError unless the request carries the operators' key."""
+    """Raise RequestError unless the request carries ``operator_key``."""
     given = headers.get(AUTHORIZATION_HEADER, '').removeprefix(BEARER_PREFIX)
     if hmac.compare_digest(given.encode(), operator_key.encode()):
         return
     raise request_error(
         Code.UNAUTHENTICATED,
-        'this page is for operators',
+        'this page requires the operator key',
         field='Authorization',
         remedy='send "Authorization: Bearer <operator key>"',
     )
--- a/src/aspenfold/_internal/network/response_queue.py
+++ b/src/aspenfold/_internal/network/response_queue.py
@@ -1,4 +1,4 @@
-"""Carries one answer from the loop to the thread that writes it out."""
+"""Passes a response from the event loop to the thread that sends it."""
 
 import asyncio
 import collections
@@ -9,12 +9,12 @@
 from aspenfold._internal.kernel import frames
 
 MAX_QUEUED_PARTS = 64
-"""Parts that may wait for a slow reader before its leg is paused."""
+"""Reading from the agent pauses while more parts wait to be sent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Chunk:
-    """Items to write, the first one numbered ``first``."""
+    """Consecutive items of a response, numbered from ``first``."""
 
     first: int
     items: tuple[bytes, ...]
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Complete:
-    """The answer is whole and had ``total`` items."""
+    """The end of a complete response of ``total`` items."""
 
     total: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Failed:
-    """The answer ends in an error."""
+    """The end of a response that failed."""
 
     failure: exceptions.Failure
 
@@ -38,7 +38,10 @@
 
 
 class ResponseQueue:
-    """A bounded queue of parts: the loop puts, one thread takes."""
+    """Queue of response parts from the event loop to one thread.
+
+    :meth:`put` never blocks; producers wait in :meth:`drain`.
+    """
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -48,18 +51,18 @@
         self._has_space.set()
 
     def put(self, part: Part) -> None:
-        """Add a part; called on the loop's thread, never blocks."""
+        """Add a part.  Call it on the event loop's thread."""
         self._parts.append(part)
         self._ready.release()
         if len(self._parts) >= MAX_QUEUED_PARTS:
             self._has_space.clear()
 
     async def drain(self) -> None:
-        """Wait until the reader has caught up."""
+        """Wait until the queue is below its limit."""
         await self._has_space.wait()
 
     def take(self, timeout: float) -> Part | None:
-        """Return the next part, None if none came in ``timeout`` seconds."""
+        """Return the next part, or None after ``timeout`` seconds."""
         if not self._ready.acquire(timeout=timeout):
             return None
         part = self._parts.popleft()
--- a/tests/unit/test_endpoint_client.py
+++ b/tests/unit/test_endpoint_client.py
@@ -1,4 +1,4 @@
-"""What the agent says of an endpoint that it could not call."""
+"""Failed endpoint calls report whether the request may have run."""
 
 import asyncio
 import socket
@@ -14,8 +14,8 @@
 Code = exceptions.Code
 
 
-class Sink:
-    """Keeps the failure of one attempt."""
+class FailureSink:
+    """Stores the failure of one attempt."""
 
     def __init__(self) -> None:
         self.failure: asyncio.Future[exceptions.Failure] = (
@@ -23,24 +23,24 @@
         )
 
     def on_head(self, attempt_id: str, head: frames.Head) -> None:
-        """Not expected."""
+        """Fail the test."""
         raise AssertionError(head)
 
     def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
-        """Not expected."""
+        """Fail the test."""
         raise AssertionError(items)
 
     def on_end(self, attempt_id: str) -> None:
-        """Not expected."""
+        """Fail the test."""
         raise AssertionError(attempt_id)
 
     def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
-        """Keep the failure."""
+        """Store the failure."""
         self.failure.set_result(failure)
 
 
 def request(operation: str) -> frames.AttemptRequest:
-    """Return an attempt at ``operation``."""
+    """Return a request for ``operation``."""
     return frames.AttemptRequest(
         attempt_id='a',
         incarnation='i',
@@ -58,8 +58,8 @@
 
 
 async def failure_of(port: int, operation: str) -> exceptions.Failure:
-    """Call an endpoint on ``port`` and return why it failed."""
-    sink = Sink()
+    """Call an endpoint on ``port`` and return the failure."""
+    sink = FailureSink()
     client = endpoint_client.EndpointClient(
         config=endpoint_client.EndpointConfig(
             base_url=f'http://127.0.0.1:{port}',
@@ -78,8 +78,8 @@
         client.close()
 
 
-def serve_nothing(server: socket.socket) -> None:
-    """Take one request and close the connection without an answer."""
+def close_without_response(server: socket.socket) -> None:
+    """Read one request and close the connection without a response."""
     conn, _ = server.accept()
     conn.recv(65536)
     conn.close()
@@ -93,10 +93,10 @@
         ('job', True, Code.FATE_UNKNOWN),
     ],
 )
-def test_outcome_is_told_truthfully(
+def test_failure_code_tells_whether_the_request_may_have_run(
     operation: str, listening: bool, code: Code
 ) -> None:
-    """Only what cannot have reached the endpoint is "not run"."""
+    """Only a request that was never sent is reported as not run."""
 
     async def run() -> exceptions.Failure:
         with socket.create_server(('127.0.0.1', 0)) as server:
@@ -105,7 +105,9 @@
                 server.close()
                 return await failure_of(port, operation)
             loop = asyncio.get_running_loop()
-            serving = loop.run_in_executor(None, serve_nothing, server)
+            serving = loop.run_in_executor(
+                None, close_without_response, server
+            )
             failure = await failure_of(port, operation)
             await serving
             return failure
--- a/tests/unit/test_files.py
+++ b/tests/unit/test_files.py
@@ -1,4 +1,4 @@
-"""Mistakes in files are told with file, path, value and remedy."""
+"""Errors in fleet and settings files name the file, field and remedy."""
 
 import json
 import pathlib
@@ -18,13 +18,13 @@
 from aspenfold._internal import routing
 
 PLUGINS = (admission, leased_tasks, retries, routing)
-"""Importing these registered their plug-ins."""
+"""Importing these packages registers their plug-ins."""
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 
 
 def failure_of(path: pathlib.Path, text: str) -> exceptions.Failure:
-    """Load ``text`` as a fleet and return why it is refused."""
+    """Load ``text`` as a fleet file and return the failure."""
     path.write_text(text, encoding='utf-8')
     with pytest.raises(exceptions.ConfigError) as caught:
         apply.load_fleet(str(path))
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ('where', 'value', 'said'),
+    ('path_to_value', 'value', 'message'),
     [
         (('unknown',), 1, 'unknown: Extra inputs'),
         (('rules', 0, 'service'), 'tills', "no such service 'tills'"),
@@ -50,28 +50,28 @@
         (('services', 1, 'name'), 'till', "'till' stands twice"),
     ],
 )
-def test_fleet_mistakes(
+def test_invalid_fleet_value_is_reported(
     tmp_path: pathlib.Path,
-    where: tuple[typing.Any, ...],
+    path_to_value: tuple[typing.Any, ...],
     value: typing.Any,
-    said: str,
+    message: str,
 ) -> None:
-    """Each mistake is named, with the file."""
+    """The failure names the invalid value and the file."""
     document = fleets.document()
-    place: typing.Any = document
-    for step in where[:-1]:
-        place = place[step]
-    place[where[-1]] = value
+    container: typing.Any = document
+    for key in path_to_value[:-1]:
+        container = container[key]
+    container[path_to_value[-1]] = value
     path = tmp_path / 'fleet.json'
     failure = failure_of(path, json.dumps(document))
     assert failure.code is exceptions.Code.CONFIG_INVALID
-    assert said in failure.detail
+    assert message in failure.detail
     assert str(path) in failure.detail
     assert failure.remedy
 
 
-def test_three_mistakes_are_told_together(tmp_path: pathlib.Path) -> None:
-    """An operator mends them all in one go."""
+def test_all_errors_are_reported_at_once(tmp_path: pathlib.Path) -> None:
+    """An operator can correct three errors without three attempts."""
     document = fleets.document()
     document['name'] = 'NO'
     document['extra'] = 1
@@ -81,8 +81,8 @@
         assert f'{name}: ' in failure.detail
 
 
-def test_broken_json_and_missing_file(tmp_path: pathlib.Path) -> None:
-    """The line and column are told; a missing file is named."""
+def test_invalid_json_and_missing_file(tmp_path: pathlib.Path) -> None:
+    """Invalid JSON is reported with its line, a missing file by name."""
     failure = failure_of(tmp_path / 'f.json', '{\n  "a": }')
     assert 'line 2' in failure.detail
     with pytest.raises(exceptions.ConfigError) as caught:
@@ -90,8 +90,8 @@
     assert 'nothing.json' in caught.value.failure.detail
 
 
-def test_settings_without_a_port(tmp_path: pathlib.Path) -> None:
-    """A missing setting is named by its path."""
+def test_missing_setting_is_reported(tmp_path: pathlib.Path) -> None:
+    """The failure names the path of the missing setting."""
     path = tmp_path / 'entry.json'
     path.write_text(
         json.dumps({'name': 'e', 'listen': {'address': '127.0.0.1'}})
@@ -111,16 +111,16 @@
         ('map', fleet.PlannerName),
     ],
 )
-def test_policy_names_are_those_of_the_plug_ins(
+def test_policy_names_match_the_registered_plug_ins(
     kind: str, allowed: typing.Any
 ) -> None:
-    """A name that a fleet may use is registered, and no other is."""
+    """The schema allows exactly the names that are registered."""
     assert sorted(typing.get_args(allowed)) == registry.names(kind)
 
 
 @pytest.mark.parametrize('name', ['partitions', 'calabash'])
 def test_example_fleets_are_valid(name: str) -> None:
-    """The example fleets pass their own checks."""
+    """The example fleets load and have the expected sizes."""
     document = apply.load_fleet(str(ROOT / 'examples' / f'{name}.json'))
     workers = {
         service['kind']: sum(service['workers'].values())
--- a/tests/unit/test_http1_server.py
+++ b/tests/unit/test_http1_server.py
@@ -1,4 +1,4 @@
-"""The server's edge, with a transport that only records."""
+"""The HTTP/1.1 server, with a fake transport."""
 
 import asyncio
 import typing
@@ -8,49 +8,50 @@
 from aspenfold._internal.network import http1_server
 
 
-class Transport:
-    """Keeps what is written; closes when a test says so."""
+class FakeTransport:
+    """Records written bytes; fails on writes after ``lost`` is set."""
 
     def __init__(self) -> None:
         self.written = b''
         self.lost = False
 
     def write(self, data: bytes) -> None:
-        """Keep bytes."""
-        assert not self.lost, 'written to a connection that is lost'
+        """Record ``data``."""
+        assert not self.lost, 'write to a lost connection'
         self.written += data
 
     def is_closing(self) -> bool:
-        """Return whether the connection is lost or being closed."""
+        """Return whether the connection is lost."""
         return self.lost
 
     def close(self) -> None:
-        """Close."""
+        """Mark the connection as lost."""
         self.lost = True
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Not needed."""
+        """Ignore the limit."""
 
     def get_extra_info(self, name: str) -> None:
-        """Nothing is known."""
+        """Return None for every name."""
 
 
-def test_nothing_is_written_once_the_connection_is_lost() -> None:
-    """A failed write shows in the transport before its callback runs."""
+def test_nothing_is_written_to_a_lost_connection() -> None:
+    """The transport is closing before ``connection_lost`` is called."""
 
     async def run() -> None:
-        answered = asyncio.Event()
-        transport = Transport()
+        handled = asyncio.Event()
+        transport = FakeTransport()
 
         async def handler(
-            request: http1_server.Request, answer: http1_server.ResponseWriter
+            request: http1_server.Request,
+            response: http1_server.ResponseWriter,
         ) -> None:
-            answer.start(200, [])
-            answer.write(b'one')
+            response.start(200, [])
+            response.write(b'one')
             transport.lost = True
             for _ in range(9):
-                answer.write(b'more')
-            answered.set()
+                response.write(b'more')
+            handled.set()
 
         server = http1_server.Server(
             handler=handler,
@@ -61,7 +62,7 @@
         connection.connection_made(typing.cast(typing.Any, transport))
         connection.data_received(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
         async with asyncio.timeout(5):
-            await answered.wait()
+            await handled.wait()
         assert b'one' in transport.written
 
     asyncio.run(run())
--- a/tests/unit/test_request_validator.py
+++ b/tests/unit/test_request_validator.py
@@ -1,4 +1,4 @@
-"""Bad input gets a coded error that names the field and the way out."""
+"""Invalid requests are rejected with a code, the field and a remedy."""
 
 import json
 import typing
@@ -22,7 +22,7 @@
     secret: str = fleets.SECRET,
     **headers: str,
 ) -> request_validator.RawRequest:
-    """Return a request; header names have underscores for hyphens."""
+    """Return a request; underscores in ``headers`` stand for hyphens."""
     return request_validator.RawRequest(
         service=service,
         operation=operation,
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def validator() -> request_validator.RequestValidator:
-    """Return a border that knows the small fleet."""
+    """Return a validator that uses the small fleet."""
     result = request_validator.RequestValidator()
     result.set_fleet(fleet.Fleet.model_validate(fleets.document()))
     return result
@@ -71,13 +71,13 @@
         ),
     ],
 )
-def test_bad_request(
+def test_invalid_request_is_rejected(
     validator: request_validator.RequestValidator,
     changes: dict[str, typing.Any],
     code: Code,
     field: str,
 ) -> None:
-    """The error has a code, names the field and says what to do."""
+    """The error has the expected code and field, and a remedy."""
     with pytest.raises(exceptions.RequestError) as caught:
         validator.validate(raw(**changes))
     failure = caught.value.failure
@@ -87,8 +87,8 @@
     assert failure.outcome is exceptions.Outcome.NOT_RUN
 
 
-def test_a_caller_may_lower_its_priority_but_not_raise_it() -> None:
-    """The rule's priority is the most urgent that a caller gets."""
+def test_caller_can_lower_but_not_raise_its_priority() -> None:
+    """The rule's priority is the highest that a caller can get."""
     document = fleets.document(rules=[{'priority': 'generation'}])
     validator = request_validator.RequestValidator()
     validator.set_fleet(fleet.Fleet.model_validate(document))
@@ -98,8 +98,8 @@
     assert lower.priority is fleet.Priority.BATCH
 
 
-def test_no_rule() -> None:
-    """A call that no rule matches is refused with its own code."""
+def test_call_without_a_matching_rule_is_rejected() -> None:
+    """A call that no rule allows fails with NO_RULE."""
     document = fleets.document(
         rules=[{'service': 'llm', 'priority': 'generation'}]
     )
@@ -110,10 +110,10 @@
     assert caught.value.failure.code is Code.NO_RULE
 
 
-def test_model_names_the_service(
+def test_model_field_names_the_service(
     validator: request_validator.RequestValidator,
 ) -> None:
-    """Completion clients name the service as their model."""
+    """A completion request names the service in its ``model``."""
     body = json.dumps({'model': 'llm', 'prompt': 'x', 'stream': True})
     call = validator.validate(
         raw(service='', operation='completions', body=body.encode())
