--- a/bench/model.py
+++ b/bench/model.py
@@ -85,7 +85,7 @@
             match action:
                 case agent_actions.Send(leg=leg, frame=frame):
                     self._legs[leg](frame)
-                case agent_actions.CloseLeg(leg=leg):
+                case agent_actions.CloseAnswerStream(leg=leg):
                     del self._legs[leg]
                 case agent_actions.CallEndpoint(request=request):
                     urgency = URGENCY[request.priority]
@@ -108,13 +108,13 @@
             failure = exceptions.Failure(
                 code=exceptions.Code.ENDPOINT_LOST, detail='brown-out'
             )
-            self._apply(self.kernel.endpoint_failed(attempt, failure))
+            self._apply(self.kernel.on_endpoint_failed(attempt, failure))
         else:
             head = frames.Head(status=200, content_type='x')
-            self._apply(self.kernel.endpoint_head(attempt, head))
-            self._apply(self.kernel.endpoint_items(attempt, (b'x',)))
+            self._apply(self.kernel.on_endpoint_head(attempt, head))
+            self._apply(self.kernel.on_endpoint_items(attempt, (b'x',)))
             now = self.model.sim.now
-            self._apply(self.kernel.endpoint_ended(attempt, now))
+            self._apply(self.kernel.on_endpoint_ended(attempt, now))
         self._serve()
 
 
@@ -159,8 +159,8 @@
         document = _document(policies or {}, organisations)
         listing = self._listing()
         for entry in self.entries:
-            entry.fleet_page(_page(document))
-            entry.listed(listing)
+            entry.on_fleet_page(_page(document))
+            entry.on_host_list(listing)
         self.sim.every(REPORT_MS, self._report)
         self.sim.every(10, self._tick)
 
@@ -220,7 +220,7 @@
     ) -> None:
         for action in result:
             match action:
-                case actions.OpenLeg():
+                case actions.OpenAnswerStream():
                     self._open(kernel, action)
                 case actions.Finish(call_id=call_id):
                     self._ended(call_id, None)
@@ -228,7 +228,9 @@
                     self._ended(call_id, failure)
 
     def _open(
-        self, kernel: entry_kernel.EntryKernel, action: actions.OpenLeg
+        self,
+        kernel: entry_kernel.EntryKernel,
+        action: actions.OpenAnswerStream,
     ) -> None:
         self.attempts += 1
         endpoint = self.endpoints[action.host.name]
@@ -237,7 +239,8 @@
             self.sim.after(
                 NETWORK_MS,
                 lambda: self._apply(
-                    kernel, kernel.frame(action.leg, frame, self.sim.now)
+                    kernel,
+                    kernel.on_frame(action.leg, frame, self.sim.now),
                 ),
             )
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -60,7 +60,7 @@
         for n in range(entries)
     ]
     kernel.view = type(kernel.view)(owner='entry-0', zone='zone-0')
-    kernel.listed(hosts.HostList(version=2, hosts=listed))
+    kernel.on_host_list(hosts.HostList(version=2, hosts=listed))
     for known in kernel.view.watched():
         kernel.view.reported(
             known.name, 'i', frames.Load(capacity=10**6), sim_module.START
@@ -109,7 +109,7 @@
             load=frames.Load(capacity=10**6),
             body=body,
         )
-        kernel.frame(opened.leg, frame, now)  # type: ignore[union-attr]
+        kernel.on_frame(opened.leg, frame, now)  # type: ignore[union-attr]
 
 
 @report.measure('decision-cost')
--- a/src/aspenfold/_internal/attempts/actions.py
+++ b/src/aspenfold/_internal/attempts/actions.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class CloseLeg:
+class CloseAnswerStream:
     """Nothing more follows on the leg."""
 
     leg: int
@@ -34,4 +34,4 @@
     attempt_id: str
 
 
-Action = Send | CloseLeg | CallEndpoint | CancelEndpoint
+Action = Send | CloseAnswerStream | CallEndpoint | CancelEndpoint
--- a/src/aspenfold/_internal/attempts/attempt.py
+++ b/src/aspenfold/_internal/attempts/attempt.py
@@ -36,7 +36,7 @@
     items: list[bytes] = dataclasses.field(default_factory=list)
     size: int = 0
     failure: exceptions.Failure | None = None
-    legs: dict[int, int] = dataclasses.field(default_factory=dict)
+    streams: dict[int, int] = dataclasses.field(default_factory=dict)
     running_digest: frames.ItemDigest = dataclasses.field(
         default_factory=frames.ItemDigest
     )
--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -32,7 +32,7 @@
 class _Joiner:
     """A leg that waits for an attempt to arrive."""
 
-    leg: int
+    stream_id: int
     request: frames.AttemptRequest
     until: datetime.datetime
 
@@ -58,7 +58,7 @@
         self._finished: collections.deque[str] = collections.deque()
         self._by_deadline: collections.deque[str] = collections.deque()
         self._joiners: list[_Joiner] = []
-        self._legs: dict[int, str] = {}
+        self._streams: dict[int, str] = {}
         self._running = 0
         self._room = slots_module.InteractiveReservation(capacity=capacity)
         self._now: datetime.datetime | None = None
@@ -79,47 +79,50 @@
         return self._running
 
     @property
-    def open_legs(self) -> int:
+    def open_streams(self) -> int:
         """Legs on which a caller still waits."""
-        return len(self._legs) + len(self._joiners)
+        return len(self._streams) + len(self._joiners)
 
     @property
     def may_exit(self) -> bool:
         """Whether a leaving agent has nothing left to finish."""
-        return not self._running and not self.open_legs
+        return not self._running and not self.open_streams
 
     # -- from entries ----------------------------------------------------
 
     def execute(
-        self, leg: int, request: frames.AttemptRequest, now: datetime.datetime
+        self,
+        stream_id: int,
+        request: frames.AttemptRequest,
+        now: datetime.datetime,
     ) -> list[actions.Action]:
         """Take an attempt, or a question about one."""
         now = self._advance(now)
         if request.incarnation != self.incarnation:
             return self._refuse(
-                leg,
+                stream_id,
                 request,
                 Code.INCARNATION_GONE,
                 f'this is incarnation {self.incarnation}',
             )
         known = self._attempts.get(request.attempt_id)
         if known is not None:
-            return self._attach(leg, request, known)
+            return self._attach(stream_id, request, known)
         if request.deadline + ATTEMPT_RETENTION < now:
             # It may have been forgotten, so its fate cannot be told.
             return self._refuse(
-                leg, request, Code.FATE_UNKNOWN, 'the attempt is too old'
+                stream_id, request, Code.FATE_UNKNOWN, 'the attempt is too old'
             )
         if request.mode is frames.Mode.JOIN:
-            return self._join(leg, request, now)
-        return self._run(leg, request, now)
+            return self._join(stream_id, request, now)
+        return self._run(stream_id, request, now)
 
-    def leg_closed(self, leg: int) -> list[actions.Action]:
+    def on_stream_closed(self, stream_id: int) -> list[actions.Action]:
         """The reader of ``leg`` went away."""
-        self._joiners = [j for j in self._joiners if j.leg != leg]
-        attempt_id = self._legs.pop(leg, None)
+        self._joiners = [j for j in self._joiners if j.stream_id != stream_id]
+        attempt_id = self._streams.pop(stream_id, None)
         if attempt_id is not None:
-            self._attempts[attempt_id].legs.pop(leg, None)
+            self._attempts[attempt_id].streams.pop(stream_id, None)
         return []
 
     def cancel(self, attempt_id: str) -> list[actions.Action]:
@@ -127,27 +130,27 @@
         known = self._attempts.get(attempt_id)
         if known is None or known.state is not State.RUNNING:
             return []
-        if not known.repeatable or known.legs:
+        if not known.repeatable or known.streams:
             return []
         return [actions.CancelEndpoint(attempt_id=attempt_id)]
 
-    def ordered(self, order: frames.DrainOrder) -> None:
+    def on_drain_order(self, order: frames.DrainOrder) -> None:
         """Take an entry's word on new work; tokens fence old orders."""
         if order.leaving:
-            self.leave()
+            self.drain_permanently()
         if self._leaving or order.token < self.drain_token:
             return
         self.draining = order.drain
         self.drain_token = order.token
 
-    def leave(self) -> None:
+    def drain_permanently(self) -> None:
         """The host goes away: drain, and never take work again."""
         self.draining = True
         self._leaving = True
 
     # -- from the endpoint -----------------------------------------------
 
-    def endpoint_head(
+    def on_endpoint_head(
         self, attempt_id: str, head: frames.Head
     ) -> list[actions.Action]:
         """The endpoint began to answer."""
@@ -155,9 +158,11 @@
         if known.state is not State.RUNNING:
             return []
         known.head = head
-        return [self._send(leg, known, head) for leg in known.legs]
+        return [
+            self._send(stream_id, known, head) for stream_id in known.streams
+        ]
 
-    def endpoint_items(
+    def on_endpoint_items(
         self, attempt_id: str, items: tuple[bytes, ...]
     ) -> list[actions.Action]:
         """The endpoint gave the next items of its answer."""
@@ -166,11 +171,11 @@
             return []
         known.add(items)
         result: list[actions.Action] = []
-        for leg in known.legs:
-            result.extend(self._catch_up(leg, known))
+        for stream_id in known.streams:
+            result.extend(self._catch_up(stream_id, known))
         return result
 
-    def endpoint_ended(
+    def on_endpoint_ended(
         self, attempt_id: str, now: datetime.datetime
     ) -> list[actions.Action]:
         """The endpoint's answer is whole."""
@@ -179,9 +184,9 @@
             return []
         known.state = State.DONE
         self._finish(known)
-        return self._end_legs(known, known.end())
+        return self._end_streams(known, known.end())
 
-    def endpoint_failed(
+    def on_endpoint_failed(
         self, attempt_id: str, failure: exceptions.Failure
     ) -> list[actions.Action]:
         """The endpoint gave no whole answer; ``failure`` tells its fate."""
@@ -193,7 +198,7 @@
         if failure.outcome is exceptions.Outcome.NOT_RUN:
             known.state = State.SEALED
         self._finish(known)
-        return self._end_legs(known, frames.Refused(failure=failure))
+        return self._end_streams(known, frames.Refused(failure=failure))
 
     # -- time ------------------------------------------------------------
 
@@ -207,7 +212,9 @@
             if joiner.request.attempt_id not in self._attempts:
                 self._seal(joiner.request)
             known = self._attempts[joiner.request.attempt_id]
-            result.extend(self._attach(joiner.leg, joiner.request, known))
+            result.extend(
+                self._attach(joiner.stream_id, joiner.request, known)
+            )
         self._forget(now)
         return result
 
@@ -221,7 +228,9 @@
                 result.append(
                     actions.CancelEndpoint(attempt_id=known.attempt_id)
                 )
-                result.extend(self.endpoint_failed(known.attempt_id, failure))
+                result.extend(
+                    self.on_endpoint_failed(known.attempt_id, failure)
+                )
         return result
 
     # -- parts -----------------------------------------------------------
@@ -232,18 +241,21 @@
         return self._now
 
     def _run(
-        self, leg: int, request: frames.AttemptRequest, now: datetime.datetime
+        self,
+        stream_id: int,
+        request: frames.AttemptRequest,
+        now: datetime.datetime,
     ) -> list[actions.Action]:
         refusal = self._reason_to_refuse(request, now)
         if refusal is not None:
             self._seal(request)
-            return self._refuse(leg, request, refusal, '')
+            return self._refuse(stream_id, request, refusal, '')
         known = self._remember(request, State.RUNNING)
         self._running += 1
         if known.urgent:
             self._room.started(now)
         result: list[actions.Action] = [actions.CallEndpoint(request=request)]
-        result.extend(self._attach(leg, request, known))
+        result.extend(self._attach(stream_id, request, known))
         result.extend(self._attach_joiners(known))
         return result
 
@@ -265,17 +277,22 @@
         return None
 
     def _join(
-        self, leg: int, request: frames.AttemptRequest, now: datetime.datetime
+        self,
+        stream_id: int,
+        request: frames.AttemptRequest,
+        now: datetime.datetime,
     ) -> list[actions.Action]:
         if request.join_wait:
             self._joiners.append(
                 _Joiner(
-                    leg=leg, request=request, until=now + request.join_wait
+                    stream_id=stream_id,
+                    request=request,
+                    until=now + request.join_wait,
                 )
             )
             return []
         known = self._seal(request)
-        return self._attach(leg, request, known)
+        return self._attach(stream_id, request, known)
 
     def _seal(self, request: frames.AttemptRequest) -> attempt_module.Attempt:
         known = self._remember(request, State.SEALED)
@@ -307,7 +324,9 @@
         result: list[actions.Action] = []
         for joiner in self._joiners:
             if joiner.request.attempt_id == known.attempt_id:
-                result.extend(self._attach(joiner.leg, joiner.request, known))
+                result.extend(
+                    self._attach(joiner.stream_id, joiner.request, known)
+                )
         self._joiners = [
             j
             for j in self._joiners
@@ -317,74 +336,77 @@
 
     def _attach(
         self,
-        leg: int,
+        stream_id: int,
         request: frames.AttemptRequest,
         known: attempt_module.Attempt,
     ) -> list[actions.Action]:
         if known.state is State.SEALED:
             assert known.failure is not None
             return self._refuse(
-                leg, request, known.failure.code, known.failure.detail
+                stream_id, request, known.failure.code, known.failure.detail
             )
         if known.digest != request.digest:
             return self._refuse(
-                leg, request, Code.KEY_REUSED, 'the content differs'
+                stream_id, request, Code.KEY_REUSED, 'the content differs'
             )
         if known.state is State.FAILED:
             assert known.failure is not None
             return self._refuse(
-                leg, request, known.failure.code, known.failure.detail
+                stream_id, request, known.failure.code, known.failure.detail
             )
         if (
             known.state is State.DROPPED
             or request.next_item < known.resume_from
         ):
             return self._refuse(
-                leg, request, Code.ANSWER_EXPIRED, 'it ran; its answer is gone'
+                stream_id,
+                request,
+                Code.ANSWER_EXPIRED,
+                'it ran; its answer is gone',
             )
-        known.legs[leg] = request.next_item
-        self._legs[leg] = known.attempt_id
+        known.streams[stream_id] = request.next_item
+        self._streams[stream_id] = known.attempt_id
         result: list[actions.Action] = []
         if known.head is not None:
-            result.append(self._send(leg, known, known.head))
-        result.extend(self._catch_up(leg, known))
+            result.append(self._send(stream_id, known, known.head))
+        result.extend(self._catch_up(stream_id, known))
         if known.state is State.DONE:
-            result.extend(self._end_legs(known, known.end()))
+            result.extend(self._end_streams(known, known.end()))
         return result
 
     def _catch_up(
-        self, leg: int, known: attempt_module.Attempt
+        self, stream_id: int, known: attempt_module.Attempt
     ) -> list[actions.Action]:
-        first = known.legs[leg]
+        first = known.streams[stream_id]
         items = known.since(first)
         if not items:
             return []
-        known.legs[leg] = known.next_item
+        known.streams[stream_id] = known.next_item
         body = frames.Items(first=first, items=items)
-        return [self._send(leg, known, body)]
+        return [self._send(stream_id, known, body)]
 
-    def _end_legs(
+    def _end_streams(
         self, known: attempt_module.Attempt, body: frames.Body
     ) -> list[actions.Action]:
         result: list[actions.Action] = []
-        for leg in known.legs:
-            self._legs.pop(leg, None)
-            result.append(self._send(leg, known, body))
-            result.append(actions.CloseLeg(leg=leg))
-        known.legs.clear()
+        for stream_id in known.streams:
+            self._streams.pop(stream_id, None)
+            result.append(self._send(stream_id, known, body))
+            result.append(actions.CloseAnswerStream(leg=stream_id))
+        known.streams.clear()
         return result
 
     def _send(
-        self, leg: int, known: attempt_module.Attempt, body: frames.Body
+        self, stream_id: int, known: attempt_module.Attempt, body: frames.Body
     ) -> actions.Send:
         frame = frames.Frame(
             attempt_id=known.attempt_id, load=self.load, body=body
         )
-        return actions.Send(leg=leg, frame=frame)
+        return actions.Send(leg=stream_id, frame=frame)
 
     def _refuse(
         self,
-        leg: int,
+        stream_id: int,
         request: frames.AttemptRequest,
         code: Code,
         detail: str,
@@ -398,8 +420,8 @@
             body=frames.Refused(failure=failure),
         )
         return [
-            actions.Send(leg=leg, frame=frame),
-            actions.CloseLeg(leg=leg),
+            actions.Send(leg=stream_id, frame=frame),
+            actions.CloseAnswerStream(leg=stream_id),
         ]
 
     def _finish(self, known: attempt_module.Attempt) -> None:
@@ -413,7 +435,7 @@
         self._finished.append(known.attempt_id)
         while self._answer_bytes > self._answer_memory and self._finished:
             oldest = self._attempts.get(self._finished.popleft())
-            if oldest is not None and not oldest.legs:
+            if oldest is not None and not oldest.streams:
                 self._answer_bytes -= oldest.size
                 if oldest.state is State.DONE:
                     oldest.drop_answer()
--- a/src/aspenfold/_internal/calls/actions.py
+++ b/src/aspenfold/_internal/calls/actions.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class OpenLeg:
+class OpenAnswerStream:
     """Send the request to the agent on ``host``; answer on ``leg``."""
 
     leg: int
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class CloseLeg:
+class CloseAnswerStream:
     """Stop reading the leg."""
 
     leg: int
@@ -74,8 +74,8 @@
 
 
 Action = (
-    OpenLeg
-    | CloseLeg
+    OpenAnswerStream
+    | CloseAnswerStream
     | CancelAttempt
     | AppendClaim
     | DeliverHead
--- a/src/aspenfold/_internal/calls/context.py
+++ b/src/aspenfold/_internal/calls/context.py
@@ -34,7 +34,7 @@
     def new_id(self) -> str:
         """Return a unique attempt id."""
 
-    def new_leg(self, call_id: str) -> int:
+    def new_stream_id(self, call_id: str) -> int:
         """Return the number of a new leg of the call."""
 
     def retry_wait(
@@ -42,7 +42,7 @@
     ) -> datetime.timedelta | None:
         """Return the wait before a retry, None if the budget is spent."""
 
-    def succeeded(
+    def on_complete_answer(
         self, call: call_module.Call, endpoint: str, now: datetime.datetime
     ) -> None:
         """Note a whole answer."""
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -62,7 +62,7 @@
         self._assembler = assembler.Assembler()
         self._attempt: attempt_module.Attempt | None = None
         self._attempts_made = 0
-        self._leg: int | None = None
+        self._stream_id: int | None = None
         self._maybe_ran = False
         self._head_sent = False
         self._cause: exceptions.Failure | None = None
@@ -129,13 +129,13 @@
             case frames.Refused():
                 return self._on_refused(frame.body.failure, now)
 
-    def on_leg_lost(
+    def on_stream_lost(
         self, sent: bool, now: datetime.datetime
     ) -> list[actions.Action]:
         """The current leg broke; ``sent``: the request may have left."""
         attempt = self._attempt
         assert attempt is not None
-        self._leg = None
+        self._stream_id = None
         if attempt.mode is frames.Mode.RUN and sent:
             attempt.sent = True
         if attempt.own and not attempt.sent:
@@ -179,7 +179,7 @@
 
     def on_caller_left(self) -> list[actions.Action]:
         """The caller went away; keyed work goes on for a resubmission."""
-        result = self._close_leg()
+        result = self._close_stream()
         if self._attempt is not None and not self.call.key:
             result.extend(self._cancel())
         self.state = State.ENDED
@@ -337,7 +337,7 @@
         self._holds_unrun = False
         self.endpoint = attempt.endpoint
         self._assembler.begin(attempt.attempt_id)
-        self._leg = self._context.new_leg(self.call.call_id)
+        self._stream_id = self._context.new_stream_id(self.call.call_id)
         request = frames.AttemptRequest(
             attempt_id=attempt.attempt_id,
             incarnation=attempt.incarnation,
@@ -356,7 +356,9 @@
             join_wait=join_wait,
         )
         return [
-            actions.OpenLeg(leg=self._leg, host=known.host, request=request)
+            actions.OpenAnswerStream(
+                leg=self._stream_id, host=known.host, request=request
+            )
         ]
 
     def _ask_later(self, now: datetime.datetime) -> list[actions.Action]:
@@ -450,9 +452,9 @@
                     _failure(Code.ANSWER_BROKEN, 'the answer fails its digest')
                 )
             case assembler.Verdict.WHOLE:
-                self._context.succeeded(self.call, self.endpoint, now)
+                self._context.on_complete_answer(self.call, self.endpoint, now)
                 self.state = State.ENDED
-                result = self._close_leg()
+                result = self._close_stream()
                 result.append(
                     actions.Finish(
                         call_id=self.call.call_id,
@@ -466,7 +468,7 @@
     ) -> list[actions.Action]:
         attempt = self._attempt
         assert attempt is not None
-        result = self._close_leg()
+        result = self._close_stream()
         if failure.code is Code.KEY_REUSED:
             result.extend(self._fail(failure))
             return result
@@ -494,7 +496,7 @@
         )
 
     def _fail(self, failure: exceptions.Failure) -> list[actions.Action]:
-        result = self._close_leg()
+        result = self._close_stream()
         if self.state is State.RUNNING:
             result.extend(self._cancel())
         self.state = State.ENDED
@@ -516,11 +518,11 @@
 
     # -- parts -----------------------------------------------------------
 
-    def _close_leg(self) -> list[actions.Action]:
-        if self._leg is None:
+    def _close_stream(self) -> list[actions.Action]:
+        if self._stream_id is None:
             return []
-        leg, self._leg = self._leg, None
-        return [actions.CloseLeg(leg=leg)]
+        stream_id, self._stream_id = self._stream_id, None
+        return [actions.CloseAnswerStream(leg=stream_id)]
 
     def _cancel(self) -> list[actions.Action]:
         attempt = self._attempt
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -63,9 +63,9 @@
             for i in range(claim_streams)
         }
         self._flows: dict[str, flow_module.CallFlow] = {}
-        self._legs: dict[int, str] = {}
-        self._leg_endpoint: dict[int, str] = {}
-        self._next_leg = 1
+        self._streams: dict[int, str] = {}
+        self._stream_endpoint: dict[int, str] = {}
+        self._next_stream_id = 1
         self._timers: list[tuple[datetime.datetime, str]] = []
         self._by_key: dict[str, set[str]] = collections.defaultdict(set)
         self._policies: dict[tuple[str, str], typing.Any] = {}
@@ -73,7 +73,7 @@
         self._urgent: collections.Counter[str] = collections.Counter()
         self._urgent_mean: dict[str, float] = {}
         self._entries = 1
-        self.answered: collections.Counter[str] = collections.Counter()
+        self.result_counts: collections.Counter[str] = collections.Counter()
 
     # -- what flows need, see calls.context ----------------------------------
 
@@ -114,17 +114,17 @@
         """Return a unique id."""
         return f'{self._rng.getrandbits(ID_BITS):024x}'
 
-    def new_leg(self, call_id: str) -> int:
+    def new_stream_id(self, call_id: str) -> int:
         """Return the number of a new leg of the call."""
-        leg = self._next_leg
-        self._next_leg += 1
-        self._legs[leg] = call_id
+        stream_id = self._next_stream_id
+        self._next_stream_id += 1
+        self._streams[stream_id] = call_id
         endpoint = self._flows[call_id].endpoint
-        self._leg_endpoint[leg] = endpoint
+        self._stream_endpoint[stream_id] = endpoint
         known = self.view.get(endpoint)
         if known is not None:
             known.in_flight += 1
-        return leg
+        return stream_id
 
     def retry_wait(
         self, call: call_module.Call, attempt: int
@@ -132,7 +132,7 @@
         """Return the wait before a retry, None if the budget is spent."""
         return self._retry(call.service).retry(attempt)
 
-    def succeeded(
+    def on_complete_answer(
         self, call: call_module.Call, endpoint: str, now: datetime.datetime
     ) -> None:
         """Note a whole answer and how long it took."""
@@ -168,7 +168,7 @@
         if failure is not None:
             if call.key:
                 failure = refusals.mark_key_undecided(failure)
-            self.answered[str(int(failure.code))] += 1
+            self.result_counts[str(int(failure.code))] += 1
             return [actions.Fail(call_id=call.call_id, failure=failure)]
         flow = flow_module.CallFlow(call=call, context=self)
         self._flows[call.call_id] = flow
@@ -178,39 +178,39 @@
         self._count_urgent(call, 1)
         return self._settle(flow, flow.start(now))
 
-    def caller_left(self, call_id: str) -> list[actions.Action]:
+    def on_caller_left(self, call_id: str) -> list[actions.Action]:
         """The caller of ``call_id`` went away."""
         flow = self._flows.get(call_id)
         if flow is None:
             return []
         return self._settle(flow, flow.on_caller_left())
 
-    def frame(
-        self, leg: int, frame: frames.Frame, now: datetime.datetime
+    def on_frame(
+        self, stream_id: int, frame: frames.Frame, now: datetime.datetime
     ) -> list[actions.Action]:
         """A frame arrived on a leg; those of closed legs are dropped."""
-        flow = self._flow_of(leg)
+        flow = self._flow_of(stream_id)
         if flow is None:
             return []
-        self._hear(self._leg_endpoint[leg], frame, now)
+        self._hear(self._stream_endpoint[stream_id], frame, now)
         return self._settle(flow, flow.on_frame(frame, now))
 
-    def leg_lost(
-        self, leg: int, sent: bool, now: datetime.datetime
+    def on_stream_lost(
+        self, stream_id: int, sent: bool, now: datetime.datetime
     ) -> list[actions.Action]:
         """A leg broke before its end."""
-        flow = self._flow_of(leg)
+        flow = self._flow_of(stream_id)
         if flow is None:
             return []
-        self.view.failed(self._leg_endpoint[leg], now)
+        self.view.failed(self._stream_endpoint[stream_id], now)
         if not sent:
-            self.view.distrust(self._leg_endpoint[leg])
-        self._drop_leg(leg)
-        return self._settle(flow, flow.on_leg_lost(sent, now))
+            self.view.distrust(self._stream_endpoint[stream_id])
+        self._remove_stream(stream_id)
+        return self._settle(flow, flow.on_stream_lost(sent, now))
 
     # -- platform and members --------------------------------------------
 
-    def fleet_page(
+    def on_fleet_page(
         self, page: reader_module.Page
     ) -> list[reader_module.AppliedRecord]:
         """Fold a page of the fleet stream."""
@@ -219,14 +219,14 @@
         self.view.folded(self.fleet_reader.state.members)
         return judged
 
-    def adopt(self, state: state_module.FleetState) -> bool:
+    def adopt_state(self, state: state_module.FleetState) -> bool:
         """Take a peer's fleet state if it is further on."""
-        adopted = self.fleet_reader.adopt(state)
+        adopted = self.fleet_reader.adopt_state(state)
         if adopted:
             self.view.folded(self.fleet_reader.state.members)
         return adopted
 
-    def claims_page(
+    def on_claims_page(
         self,
         stream: str,
         page: reader_module.Page,
@@ -246,11 +246,11 @@
         """Return the offset to read next on a claim stream."""
         return self._claim_tables[stream].position
 
-    def log_lost(self) -> None:
+    def on_log_lost(self) -> None:
         """The log service does not answer."""
         self._log_up = False
 
-    def listed(self, listing: hosts.HostList) -> None:
+    def on_host_list(self, listing: hosts.HostList) -> None:
         """Take a reading of the host list."""
         self.view.listed(listing)
         entries = sum(h.role is hosts.Role.ENTRY for h in listing.hosts)
@@ -351,8 +351,8 @@
     ) -> list[actions.Action]:
         """Keep the books after a flow moved."""
         for action in result:
-            if isinstance(action, actions.CloseLeg):
-                self._drop_leg(action.leg)
+            if isinstance(action, actions.CloseAnswerStream):
+                self._remove_stream(action.leg)
         call = flow.call
         if flow.state is not flow_module.State.ENDED:
             # Frames come by the thousand; only a changed time is pushed.
@@ -371,19 +371,19 @@
                 del self._by_key[flow.scoped_key]
         for action in result:
             if isinstance(action, actions.Fail):
-                self.answered[str(int(action.failure.code))] += 1
+                self.result_counts[str(int(action.failure.code))] += 1
             elif isinstance(action, actions.Finish):
-                self.answered['ok'] += 1
+                self.result_counts['ok'] += 1
         return result
 
-    def _flow_of(self, leg: int) -> flow_module.CallFlow | None:
-        call_id = self._legs.get(leg)
+    def _flow_of(self, stream_id: int) -> flow_module.CallFlow | None:
+        call_id = self._streams.get(stream_id)
         return self._flows.get(call_id) if call_id else None
 
-    def _drop_leg(self, leg: int) -> None:
-        if self._legs.pop(leg, None) is None:
+    def _remove_stream(self, stream_id: int) -> None:
+        if self._streams.pop(stream_id, None) is None:
             return
-        known = self.view.get(self._leg_endpoint.pop(leg))
+        known = self.view.get(self._stream_endpoint.pop(stream_id))
         if known is not None and known.in_flight > 0:
             known.in_flight -= 1
 
--- a/src/aspenfold/_internal/configuration/reader.py
+++ b/src/aspenfold/_internal/configuration/reader.py
@@ -76,7 +76,7 @@
             judged.extend(self._apply_or_hold(record))
         return judged
 
-    def adopt(self, state: state_module.FleetState) -> bool:
+    def adopt_state(self, state: state_module.FleetState) -> bool:
         """Take a peer's state if it is further on; return whether so."""
         if state.next_offset <= self.state.next_offset:
             return False
--- a/src/aspenfold/_internal/network/agent_client.py
+++ b/src/aspenfold/_internal/network/agent_client.py
@@ -26,11 +26,11 @@
 """What a broken or refused call raises."""
 
 
-class LegLost(Exception):
-    """A leg broke; ``sent``: the request may have reached the agent."""
+class AnswerStreamLost(Exception):
+    """The stream broke; ``sent``: the agent may have the request."""
 
     def __init__(self, *, sent: bool) -> None:
-        super().__init__('the leg was lost')
+        super().__init__('the answer stream was lost')
         self.sent = sent
 
 
@@ -44,7 +44,10 @@
     async def execute(
         self, address: str, port: int, request: frames.AttemptRequest
     ) -> abc.AsyncIterator[frames.Frame]:
-        """Open a leg and give its frames; raises LegLost when it breaks."""
+        """Yield the frames of one attempt.
+
+        Raises AnswerStreamLost when the call breaks.
+        """
         stub = self._stub(address, port)
         await self._connect(address, port)
         sent = False
@@ -57,7 +60,7 @@
                 async for message in stream:
                     yield codec.frame_from_pb(message)
         except LOST as exc:
-            raise LegLost(sent=sent) from exc
+            raise AnswerStreamLost(sent=sent) from exc
 
     async def report(
         self, address: str, port: int, request: pb.ReportRequest
@@ -117,7 +120,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await channel.__connect__()
         except LOST as exc:
-            raise LegLost(sent=False) from exc
+            raise AnswerStreamLost(sent=False) from exc
 
     def _channel(self, address: str, port: int) -> grpclib.client.Channel:
         key = (address, port)
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -103,7 +103,7 @@
     def leg_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
         self._queues.pop(number, None)
-        self._apply(self.kernel.leg_closed(number))
+        self._apply(self.kernel.on_stream_closed(number))
 
     def cancel(self, attempt_id: str) -> None:
         """Nobody waits for the attempt."""
@@ -117,7 +117,7 @@
     def reported(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Take an entry's news and give the report."""
         self._version = max(self._version, request.version)
-        self.kernel.ordered(
+        self.kernel.on_drain_order(
             frames.DrainOrder(
                 drain=request.drain,
                 token=request.drain_token,
@@ -141,16 +141,18 @@
 
     def head(self, attempt_id: str, head: frames.Head) -> None:
         """The endpoint began to answer."""
-        self._apply(self.kernel.endpoint_head(attempt_id, head))
+        self._apply(self.kernel.on_endpoint_head(attempt_id, head))
 
     def items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
         """The endpoint gave the next items."""
-        self._apply(self.kernel.endpoint_items(attempt_id, items))
+        self._apply(self.kernel.on_endpoint_items(attempt_id, items))
 
     def ended(self, attempt_id: str) -> None:
         """The answer is whole."""
         events.emit(events.Event.ATTEMPT_ENDED, attempt=attempt_id)
-        self._apply(self.kernel.endpoint_ended(attempt_id, self._clock.now()))
+        self._apply(
+            self.kernel.on_endpoint_ended(attempt_id, self._clock.now())
+        )
 
     def failed(self, attempt_id: str, failure: exceptions.Failure) -> None:
         """There is no whole answer."""
@@ -159,7 +161,7 @@
             attempt=attempt_id,
             code=int(failure.code),
         )
-        self._apply(self.kernel.endpoint_failed(attempt_id, failure))
+        self._apply(self.kernel.on_endpoint_failed(attempt_id, failure))
 
     # -- parts -----------------------------------------------------------
 
@@ -198,7 +200,7 @@
 
     async def _drain(self) -> None:
         events.emit(events.Event.DRAINING, name=self.name)
-        self.kernel.leave()
+        self.kernel.drain_permanently()
         limit = self._cfg.drain_limit_ms / 1000
         try:
             async with asyncio.timeout(limit):
@@ -230,7 +232,7 @@
                     queue = self._queues.get(number)
                     if queue is not None:
                         queue.put(frame)
-                case actions.CloseLeg(leg=number):
+                case actions.CloseAnswerStream(leg=number):
                     queue = self._queues.get(number)
                     if queue is not None:
                         queue.close()
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -201,7 +201,7 @@
             return
         self._started.pop(request_id, None)
         events.emit(events.Event.CALLER_LEFT, call=request_id)
-        self.apply(self.kernel.caller_left(request_id))
+        self.apply(self.kernel.on_caller_left(request_id))
 
     def _ticket(self, body: dict[str, typing.Any]) -> dict[str, typing.Any]:
         fleet = self.kernel.fleet
@@ -243,10 +243,10 @@
         """Carry out the kernel's actions."""
         for action in result:
             match action:
-                case actions.OpenLeg():
+                case actions.OpenAnswerStream():
                     task = self._loop.create_task(self._run_leg(action))
                     self._legs[action.leg] = task
-                case actions.CloseLeg(leg=leg):
+                case actions.CloseAnswerStream(leg=leg):
                     self._close_leg(leg)
                 case actions.CancelAttempt(host=host, attempt_id=attempt):
                     self.tasks.spawn(
@@ -293,7 +293,7 @@
         self.metrics.count('answers', 'whole')
         events.emit(events.Event.CALL_FINISHED, call=call_id)
 
-    async def _run_leg(self, action: actions.OpenLeg) -> None:
+    async def _run_leg(self, action: actions.OpenAnswerStream) -> None:
         host = action.host
         events.emit(
             events.Event.ATTEMPT_OPENED,
@@ -308,10 +308,10 @@
                 str(host.address), host.port, action.request
             ):
                 now = self.clock.now()
-                self.apply(self.kernel.frame(action.leg, frame, now))
+                self.apply(self.kernel.on_frame(action.leg, frame, now))
                 if response is not None:
                     await response.drain()
-        except agent_client.LegLost as exc:
+        except agent_client.AnswerStreamLost as exc:
             sent = exc.sent
         if self._legs.pop(action.leg, None) is None:
             return
@@ -322,7 +322,9 @@
             endpoint=host.name,
             sent=sent,
         )
-        self.apply(self.kernel.leg_lost(action.leg, sent, self.clock.now()))
+        self.apply(
+            self.kernel.on_stream_lost(action.leg, sent, self.clock.now())
+        )
 
     def _close_leg(self, leg: int) -> None:
         task = self._legs.pop(leg, None)
@@ -376,7 +378,7 @@
             remedy='submit again at another entry with the same key',
         )
         for call_id in list(self._responses):
-            self.apply(self.kernel.caller_left(call_id))
+            self.apply(self.kernel.on_caller_left(call_id))
             self._end(call_id, response_queue.Failed(failure=failure))
 
     def _add_gauges(self) -> None:
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -64,7 +64,7 @@
             client=self._log,
             streams=cfg.claim_streams + 1,
             rng=rng,
-            lost=entry.kernel.log_lost,
+            lost=entry.kernel.on_log_lost,
         )
         self._claims = log_tail.ClaimWriter(
             name=cfg.name,
@@ -112,14 +112,14 @@
     async def _follow_claims(self, stream: str) -> None:
         def take(page: reader.Page) -> None:
             now = self._entry.clock.now()
-            self._entry.apply(self._kernel.claims_page(stream, page, now))
+            self._entry.apply(self._kernel.on_claims_page(stream, page, now))
 
         await self._tail.follow(
             stream, lambda: self._kernel.claims_position(stream), take
         )
 
     def _take_fleet(self, page: reader.Page) -> None:
-        for judged in self._kernel.fleet_page(page):
+        for judged in self._kernel.on_fleet_page(page):
             offset = judged.record.offset
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
@@ -146,7 +146,7 @@
             else:
                 lost = False
                 self.listing = listing
-                self._kernel.listed(listing)
+                self._kernel.on_host_list(listing)
             await asyncio.sleep(HOST_LIST_INTERVAL)
 
     async def _do_duties(self) -> None:
@@ -216,7 +216,7 @@
         except (orjson.JSONDecodeError, pydantic.ValidationError):
             # A peer of another version; another one may be of use.
             return
-        if self._kernel.adopt(state):
+        if self._kernel.adopt_state(state):
             events.emit(
                 events.Event.PEER_ADOPTED,
                 offset=state.next_offset,
--- a/src/aspenfold/_internal/processes/status.py
+++ b/src/aspenfold/_internal/processes/status.py
@@ -38,7 +38,7 @@
         'recovering': entry.kernel.fleet_reader.awaiting_snapshot,
         'draining': entry.kernel.draining,
         'in_flight': entry.kernel.in_flight,
-        'answered': dict(entry.kernel.answered),
+        'answered': dict(entry.kernel.result_counts),
         'host_list_version': entry.listing.version,
         'leases': {
             name: {'holder': lease.holder, 'token': lease.token}
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -33,14 +33,14 @@
     right = agent_kernel.AgentKernel.execute
 
     def execute(
-        self: typing.Any, leg: int, request: typing.Any, now: typing.Any
+        self: typing.Any, stream_id: int, request: typing.Any, now: typing.Any
     ) -> typing.Any:
         known = self._attempts.get(request.attempt_id)
         sealed = known is not None and known.state is agent_kernel.State.SEALED
         if sealed and request.mode is frames.Mode.RUN:
             del self._attempts[request.attempt_id]
             self._by_deadline.remove(request.attempt_id)
-        return right(self, leg, request, now)
+        return right(self, stream_id, request, now)
 
     patch.setattr(agent_kernel.AgentKernel, 'execute', execute)
 
@@ -95,7 +95,7 @@
     """A lost attempt counts as one that never started."""
 
     def lost(self: typing.Any, sent: bool, now: typing.Any) -> typing.Any:
-        self._leg = None
+        self._stream_id = None
         self._attempt.never_runs = True
         self._holds_unrun = True
         failure = exceptions.Failure(
@@ -103,7 +103,7 @@
         )
         return self._again(failure, now)
 
-    patch.setattr(flow_module.CallFlow, 'on_leg_lost', lost)
+    patch.setattr(flow_module.CallFlow, 'on_stream_lost', lost)
 
 
 def any_not_run(patch: Patch) -> None:
@@ -144,14 +144,14 @@
     right = agent_kernel.AgentKernel.execute
 
     def execute(
-        self: typing.Any, leg: int, request: typing.Any, now: typing.Any
+        self: typing.Any, stream_id: int, request: typing.Any, now: typing.Any
     ) -> typing.Any:
         known = self._attempts.get(request.attempt_id)
         if known is not None and request.mode is frames.Mode.RUN:
             request = dataclasses.replace(
                 request, attempt_id=request.attempt_id + '+'
             )
-        return right(self, leg, request, now)
+        return right(self, stream_id, request, now)
 
     patch.setattr(agent_kernel.AgentKernel, 'execute', execute)
 
@@ -161,10 +161,10 @@
     right = agent_kernel.AgentKernel.execute
 
     def execute(
-        self: typing.Any, leg: int, request: typing.Any, now: typing.Any
+        self: typing.Any, stream_id: int, request: typing.Any, now: typing.Any
     ) -> typing.Any:
         request = dataclasses.replace(request, incarnation=self.incarnation)
-        return right(self, leg, request, now)
+        return right(self, stream_id, request, now)
 
     patch.setattr(agent_kernel.AgentKernel, 'execute', execute)
 
@@ -272,9 +272,11 @@
 def ignore_leaving(patch: Patch) -> None:
     """Neither entries nor agents heed that an endpoint leaves."""
     patch.setattr(view.View, '_leaving', lambda self, known: False)
-    patch.setattr(agent_kernel.AgentKernel, 'leave', lambda self: None)
     patch.setattr(
-        agent_kernel.AgentKernel, 'ordered', lambda self, order: None
+        agent_kernel.AgentKernel, 'drain_permanently', lambda self: None
+    )
+    patch.setattr(
+        agent_kernel.AgentKernel, 'on_drain_order', lambda self, order: None
     )
 
 
--- a/tests/lib/world.py
+++ b/tests/lib/world.py
@@ -113,26 +113,26 @@
             self._later(
                 0,
                 agent,
-                lambda: agent.kernel.endpoint_failed(attempt, failure),
+                lambda: agent.kernel.on_endpoint_failed(attempt, failure),
             )
             return
         items = expected(req.body, req.streamed)[req.resume_from :]
         head = frames.Head(status=200, content_type='text/plain')
         self._later(
-            0, agent, lambda: agent.kernel.endpoint_head(attempt, head)
+            0, agent, lambda: agent.kernel.on_endpoint_head(attempt, head)
         )
         for number, item in enumerate(items):
             self._later(
                 number * ITEM_MS,
                 agent,
-                lambda item=item: agent.kernel.endpoint_items(
+                lambda item=item: agent.kernel.on_endpoint_items(
                     attempt, (item,)
                 ),
             )
         self._later(
             len(items) * ITEM_MS,
             agent,
-            lambda: agent.kernel.endpoint_ended(attempt, self.sim.now),
+            lambda: agent.kernel.on_endpoint_ended(attempt, self.sim.now),
         )
 
     def _later(
@@ -182,7 +182,7 @@
             match action:
                 case agent_actions.Send(leg=number, frame=frame):
                     self.legs[number].send(frame)
-                case agent_actions.CloseLeg(leg=number):
+                case agent_actions.CloseAnswerStream(leg=number):
                     self.legs.pop(number).close()
                 case agent_actions.CallEndpoint(request=req):
                     self.sim.after(
@@ -244,7 +244,9 @@
     def drop(self) -> None:
         """The agent notices that the reader is gone."""
         self.agent.do(
-            lambda: self.agent.apply(self.agent.kernel.leg_closed(self.number))
+            lambda: self.agent.apply(
+                self.agent.kernel.on_stream_closed(self.number)
+            )
         )
 
 
@@ -292,20 +294,22 @@
     def frame(self, leg: int, frame: frames.Frame) -> None:
         """A frame arrived."""
         self.do(
-            lambda: self.apply(self.kernel.frame(leg, frame, self.sim.now))
+            lambda: self.apply(self.kernel.on_frame(leg, frame, self.sim.now))
         )
 
     def leg_lost(self, leg: int, sent: bool) -> None:
         """A leg broke."""
         self.do(
-            lambda: self.apply(self.kernel.leg_lost(leg, sent, self.sim.now))
+            lambda: self.apply(
+                self.kernel.on_stream_lost(leg, sent, self.sim.now)
+            )
         )
 
     def apply(self, result: list[actions.Action]) -> None:
         """Carry out the kernel's actions."""
         for action in result:
             match action:
-                case actions.OpenLeg():
+                case actions.OpenAnswerStream():
                     self._open(action)
                 case actions.AppendClaim(stream=stream, claim=claim):
                     self._append(stream, claim, self.sim.ms)
@@ -324,7 +328,7 @@
         submission = self.submissions[call_id]
         submission.answers += 1
 
-    def _open(self, action: actions.OpenLeg) -> None:
+    def _open(self, action: actions.OpenAnswerStream) -> None:
         world = self.world
         agent = world.agents[action.host.name]
         if not agent.alive:
@@ -389,16 +393,16 @@
 
     def _poll(self) -> None:
         if not self.platform_up:
-            self.kernel.log_lost()
+            self.kernel.on_log_lost()
             return
         log = self.world.log
-        self.kernel.listed(self.world.listing())
+        self.kernel.on_host_list(self.world.listing())
         position = self.kernel.fleet_reader.position
-        self.kernel.fleet_page(log.read(records.FLEET_STREAM, position))
+        self.kernel.on_fleet_page(log.read(records.FLEET_STREAM, position))
         for index in range(self._streams):
             stream = records.claim_stream(index)
             page = log.read(stream, self.kernel.claims_position(stream))
-            self.apply(self.kernel.claims_page(stream, page, self.sim.now))
+            self.apply(self.kernel.on_claims_page(stream, page, self.sim.now))
 
     def _tick(self) -> None:
         self.apply(self.kernel.tick(self.sim.now))
@@ -419,7 +423,7 @@
 
     def _report(self, agent: AgentNode, order: frames.DrainOrder) -> None:
         def on_agent() -> None:
-            agent.kernel.ordered(order)
+            agent.kernel.on_drain_order(order)
             load = agent.kernel.load
             self.sim.after(
                 self.world.network.delay(),
@@ -524,7 +528,7 @@
         agent = self.agents[name]
 
         def leave() -> None:
-            agent.kernel.leave()
+            agent.kernel.drain_permanently()
             self.left_at.setdefault(agent.kernel.incarnation, self.sim.now)
             exit_if_done()
 
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -27,12 +27,12 @@
             incarnation='me', capacity=2, answer_memory=40
         )
         self.now = sim_module.START
-        self.leg = 0
+        self.stream_id = 0
         self.expires: dict[str, datetime.datetime] = {}
         self.deadlines: dict[str, datetime.datetime] = {}
         self.handed: list[str] = []
         self.denied: set[str] = set()
-        self.open_legs: set[int] = set()
+        self.open_streams: set[int] = set()
         self.unfinished: set[str] = set()
 
     def _apply(self, result: list[actions.Action]) -> None:
@@ -41,10 +41,10 @@
                 case actions.CallEndpoint(request=request):
                     self.handed.append(request.attempt_id)
                     self.unfinished.add(request.attempt_id)
-                case actions.CloseLeg(leg=leg):
-                    self.open_legs.discard(leg)
-                case actions.Send(leg=leg, frame=frame):
-                    assert leg in self.open_legs
+                case actions.CloseAnswerStream(leg=stream_id):
+                    self.open_streams.discard(stream_id)
+                case actions.Send(leg=stream_id, frame=frame):
+                    assert stream_id in self.open_streams
                     self._note(frame)
 
     def _note(self, frame: frames.Frame) -> None:
@@ -83,8 +83,8 @@
         else:
             # A claim fixes its attempt's deadline.
             deadline = self.deadlines.setdefault(attempt, deadline)
-        self.leg += 1
-        self.open_legs.add(self.leg)
+        self.stream_id += 1
+        self.open_streams.add(self.stream_id)
         request = frames.AttemptRequest(
             attempt_id=attempt,
             incarnation='me',
@@ -100,15 +100,15 @@
             deadline=deadline,
             join_wait=wait_ms * sim_module.MS,
         )
-        self._apply(self.kernel.execute(self.leg, request, self.now))
+        self._apply(self.kernel.execute(self.stream_id, request, self.now))
 
     @stateful.rule(data=st.data())
     def close(self, data: st.DataObject) -> None:
         """A reader goes away."""
-        if self.open_legs:
-            leg = data.draw(st.sampled_from(sorted(self.open_legs)))
-            self.open_legs.discard(leg)
-            self._apply(self.kernel.leg_closed(leg))
+        if self.open_streams:
+            stream_id = data.draw(st.sampled_from(sorted(self.open_streams)))
+            self.open_streams.discard(stream_id)
+            self._apply(self.kernel.on_stream_closed(stream_id))
 
     @stateful.rule(attempt=ATTEMPTS, size=st.integers(0, 30))
     def answer(self, attempt: str, size: int) -> None:
@@ -116,8 +116,8 @@
         if attempt not in self.unfinished:
             return
         self.unfinished.discard(attempt)
-        self._apply(self.kernel.endpoint_items(attempt, (b'x' * size,)))
-        self._apply(self.kernel.endpoint_ended(attempt, self.now))
+        self._apply(self.kernel.on_endpoint_items(attempt, (b'x' * size,)))
+        self._apply(self.kernel.on_endpoint_ended(attempt, self.now))
 
     @stateful.rule(attempt=ATTEMPTS)
     def lose(self, attempt: str) -> None:
@@ -128,7 +128,7 @@
         failure = exceptions.Failure(
             code=exceptions.Code.FATE_UNKNOWN, detail='lost'
         )
-        self._apply(self.kernel.endpoint_failed(attempt, failure))
+        self._apply(self.kernel.on_endpoint_failed(attempt, failure))
 
     @stateful.rule(ms=st.sampled_from([10, 150, 6000]))
     def tick(self, ms: int) -> None:
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -49,7 +49,7 @@
         )
         result = kernel.execute(number, request, now)
         assert isinstance(result[0], actions.CallEndpoint)
-        kernel.endpoint_ended(request.attempt_id, now)
+        kernel.on_endpoint_ended(request.attempt_id, now)
     kernel.tick(
         now + agent_kernel.ATTEMPT_RETENTION + datetime.timedelta(seconds=2)
     )
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -133,7 +133,7 @@
         """A reader that is cut off takes a peer's state."""
         data = self.readers[peer].state.to_json()
         state = state_module.FleetState.from_json(data)
-        self.readers[who].adopt(state)
+        self.readers[who].adopt_state(state)
 
     @stateful.invariant()
     def readers_agree(self) -> None:
@@ -185,7 +185,7 @@
     ('where', 'name', 'mutant'),
     [
         (reducer, '_apply_config', _last_writer_wins),
-        (reader.FleetReader, 'adopt', _adopt_anything),
+        (reader.FleetReader, 'adopt_state', _adopt_anything),
         (reader.FleetReader, '_apply_or_hold', _fold_at_once),
     ],
     ids=['last_writer_wins', 'adopt_anything', 'fold_past_a_gap'],
@@ -232,6 +232,6 @@
     behind.apply_page(log.read(STREAM, 1))
     assert behind.awaiting_snapshot
     data = ahead.state.to_json()
-    assert behind.adopt(state_module.FleetState.from_json(data))
+    assert behind.adopt_state(state_module.FleetState.from_json(data))
     assert not behind.awaiting_snapshot
     assert sorted(behind.state.members) == ['e0', 'e1', 'e2']
