--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -28,9 +28,15 @@
 EPOCH = datetime.datetime(1970, 1, 1, tzinfo=datetime.timezone.utc)
 PRICE = fleet.MapPrice(skew=1.0, moved_weights=5.0, skew_bound=1.1)
 SHAPES = (
-    planner.Shape(ranks=16, experts=64, slots_per_rank=5, spare=2),
-    planner.Shape(ranks=72, experts=144, slots_per_rank=3, spare=2),
-    planner.Shape(ranks=128, experts=256, slots_per_rank=3, spare=2),
+    planner.MapShape(
+        ranks=16, experts=64, slots_per_rank=5, max_new_experts=2
+    ),
+    planner.MapShape(
+        ranks=72, experts=144, slots_per_rank=3, max_new_experts=2
+    ),
+    planner.MapShape(
+        ranks=128, experts=256, slots_per_rank=3, max_new_experts=2
+    ),
 )
 DEMANDS = 5
 
@@ -115,7 +121,9 @@
     return rows
 
 
-def _changes(seed: int, shape: planner.Shape, name: str) -> list[report.Row]:
+def _changes(
+    seed: int, shape: planner.MapShape, name: str
+) -> list[report.Row]:
     planning: planner.MapPlanner = registry.create(planner.KIND, name)
     # The first map leaves places free, which 'greedy' never fills.
     first = [
@@ -129,7 +137,7 @@
         random.Random(seed + number).shuffle(load)
         plan = planning.plan(shape, load, first, PRICE)
         skew += planner.skew(plan, load)
-        moved += planner.moved(first, plan)
+        moved += planner.moved_weights(first, plan)
     taken = time.process_time() - before
     label = f'{shape.ranks}x{shape.experts} {name}'
     return [
--- a/bench/maps.py
+++ b/bench/maps.py
@@ -19,9 +19,9 @@
     'calabash': fleet.MapPrice(skew_bound=1.03, skew=4, moved_weights=1),
 }
 SHAPES = (
-    planner.Shape(ranks=4, experts=64, slots_per_rank=20),
-    planner.Shape(ranks=16, experts=128, slots_per_rank=10),
-    planner.Shape(ranks=128, experts=256, slots_per_rank=3),
+    planner.MapShape(ranks=4, experts=64, slots_per_rank=20),
+    planner.MapShape(ranks=16, experts=128, slots_per_rank=10),
+    planner.MapShape(ranks=128, experts=256, slots_per_rank=3),
 )
 
 
@@ -41,7 +41,7 @@
 
 
 def run(
-    name: str, shape: planner.Shape, price: fleet.MapPrice, seed: int
+    name: str, shape: planner.MapShape, price: fleet.MapPrice, seed: int
 ) -> tuple[float, int]:
     """Return the mean skew after planning and the weights moved."""
     policy: planner.MapPlanner = registry.create(planner.KIND, name)
@@ -50,7 +50,7 @@
     skews, weights = [], 0
     for load in rounds:
         plan = policy.plan(shape, load, current, price)
-        weights += planner.moved(current, plan)
+        weights += planner.moved_weights(current, plan)
         current = plan
         skews.append(planner.skew(current, load))
     return sum(skews) / len(skews), weights
--- a/bench/model.py
+++ b/bench/model.py
@@ -268,7 +268,7 @@
         for endpoint in self.endpoints.values():
             load = endpoint.kernel.load
             for kernel in self.entries:
-                kernel.view.reported(
+                kernel.view.update_report(
                     endpoint.name,
                     endpoint.kernel.incarnation,
                     load,
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -62,7 +62,7 @@
     kernel.view = type(kernel.view)(owner='entry-0', zone='zone-0')
     kernel.listed(hosts.HostList(version=2, hosts=listed))
     for known in kernel.view.watched():
-        kernel.view.reported(
+        kernel.view.update_report(
             known.name, 'i', frames.Load(capacity=10**6), sim_module.START
         )
     return kernel
@@ -214,13 +214,13 @@
 def _dealt(
     owner: str, owners: list[str], names: list[str], size: int
 ) -> abc.Iterable[str]:
-    return subset.deal(owner, owners, names, size)
+    return subset.assign(owner, owners, names, size)
 
 
 def _picked(
     owner: str, owners: list[str], names: list[str], size: int
 ) -> abc.Iterable[str]:
-    return subset.pick(owner, names, size)
+    return subset.select(owner, names, size)
 
 
 @report.measure('configuration')
--- a/src/aspenfold/_internal/admission/open_door.py
+++ b/src/aspenfold/_internal/admission/admit_all.py
@@ -9,10 +9,10 @@
 
 
 @registry.register(policy.KIND, 'open')
-class OpenDoor:
+class AdmitAll:
     """Refuses nothing."""
 
-    def refuse(
+    def check(
         self,
         priority: fleet.Priority,
         remaining: datetime.timedelta,
--- a/src/aspenfold/_internal/admission/lanes.py
+++ b/src/aspenfold/_internal/admission/lanes.py
@@ -8,17 +8,17 @@
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.models import fleet
 
-LANE_BOUND: dict[fleet.Priority, float] = {
+MAX_LANE_PRESSURE: dict[fleet.Priority, float] = {
     fleet.Priority.INTERACTIVE: 3.0,
     fleet.Priority.GENERATION: 2.0,
     fleet.Priority.BATCH: 0.8,
 }
 """Mean pressure above which a lane is closed."""
 
-BURST = 3.0
+RESERVED_DEVIATIONS = 3.0
 """Standard deviations of interactive work that room is kept for."""
 
-MIN_ROOM = 0.02
+MIN_RESERVED_FRACTION = 0.02
 """Share of capacity kept free while there are interactive calls."""
 
 MIN_RETRY_AFTER = datetime.timedelta(seconds=1)
@@ -26,17 +26,17 @@
 
 
 @registry.register(policy.KIND, 'lanes')
-class Lanes:
+class PriorityLanes:
     """Closes lanes from the least urgent up as pressure grows."""
 
-    def refuse(
+    def check(
         self,
         priority: fleet.Priority,
         remaining: datetime.timedelta,
         pressure: policy.Pressure,
     ) -> exceptions.Failure | None:
         """Refuse for a closed lane or a wait beyond the deadline."""
-        if pressure.mean >= _bound(priority, pressure):
+        if pressure.mean >= _max_pressure(priority, pressure):
             return _overloaded(f'the {priority.value} lane is full', pressure)
         if _estimated_wait(pressure) >= remaining:
             return _overloaded(
@@ -45,7 +45,9 @@
         return None
 
 
-def _bound(priority: fleet.Priority, pressure: policy.Pressure) -> float:
+def _max_pressure(
+    priority: fleet.Priority, pressure: policy.Pressure
+) -> float:
     """Return the pressure at which a lane closes.
 
     While there are interactive calls, the other lanes leave room for a
@@ -53,11 +55,13 @@
     root of its mean, so the room is small where capacity is large.
     Without interactive calls nothing is kept free.
     """
-    bound = LANE_BOUND[priority]
+    bound = MAX_LANE_PRESSURE[priority]
     if priority is fleet.Priority.INTERACTIVE or not pressure.urgent:
         return bound
-    room = BURST * math.sqrt(pressure.urgent / max(1, pressure.capacity))
-    return min(bound, 1.0 - MIN_ROOM - room)
+    room = RESERVED_DEVIATIONS * math.sqrt(
+        pressure.urgent / max(1, pressure.capacity)
+    )
+    return min(bound, 1.0 - MIN_RESERVED_FRACTION - room)
 
 
 def _estimated_wait(pressure: policy.Pressure) -> datetime.timedelta:
--- a/src/aspenfold/_internal/admission/limiter.py
+++ b/src/aspenfold/_internal/admission/limiter.py
@@ -10,7 +10,7 @@
 from aspenfold._internal import exceptions
 from aspenfold._internal.models import fleet
 
-SECOND = datetime.timedelta(seconds=1)
+ONE_SECOND = datetime.timedelta(seconds=1)
 
 
 class TokenBucket:
@@ -32,13 +32,13 @@
 
     def take(self, now: datetime.datetime) -> datetime.timedelta | None:
         """Take a token: None if there was one, else the wait for it."""
-        elapsed = max(0.0, (now - self._updated) / SECOND)
+        elapsed = max(0.0, (now - self._updated) / ONE_SECOND)
         self._updated = max(now, self._updated)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
         if self._tokens >= 1:
             self._tokens -= 1
             return None
-        return SECOND * ((1 - self._tokens) / self._rate)
+        return ONE_SECOND * ((1 - self._tokens) / self._rate)
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -72,7 +72,7 @@
                 detail=f'{organisation.name} has {usage.in_flight} requests '
                 'in flight here',
                 remedy='wait for answers, or ask for a higher limit',
-                retry_after=SECOND,
+                retry_after=ONE_SECOND,
             )
         wait = usage.bucket.take(now)
         if wait is not None:
--- a/src/aspenfold/_internal/admission/policy.py
+++ b/src/aspenfold/_internal/admission/policy.py
@@ -29,7 +29,7 @@
 class AdmissionPolicy(typing.Protocol):
     """Refuses at once what cannot be answered in time."""
 
-    def refuse(
+    def check(
         self,
         priority: fleet.Priority,
         remaining: datetime.timedelta,
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -53,7 +53,7 @@
         self.zone = zone
         self.system_key = system_key
         self.draining = False
-        self.view = view_module.View(owner=name, zone=zone)
+        self.view = view_module.EndpointView(owner=name, zone=zone)
         self.fleet_reader = reader_module.FleetReader()
         self.limiter = limiter.Limiter()
         self._rng = rng
@@ -130,13 +130,13 @@
         self, call: call_module.Call, attempt: int
     ) -> datetime.timedelta | None:
         """Return the wait before a retry, None if the budget is spent."""
-        return self._retry(call.service).retry(attempt)
+        return self._retry(call.service).retry_delay(attempt)
 
     def succeeded(
         self, call: call_module.Call, endpoint: str, now: datetime.datetime
     ) -> None:
         """Note a whole answer and how long it took."""
-        self.view.succeeded(endpoint)
+        self.view.record_success(endpoint)
         taken = now - call.received_at
         before = self._service_time.get(call.service, taken)
         self._service_time[call.service] = (
@@ -174,7 +174,7 @@
         self._flows[call.call_id] = flow
         if flow.scoped_key:
             self._by_key[flow.scoped_key].add(call.call_id)
-        self._retry(call.service).request()
+        self._retry(call.service).record_request()
         self._count_urgent(call, 1)
         return self._settle(flow, flow.start(now))
 
@@ -202,9 +202,9 @@
         flow = self._flow_of(leg)
         if flow is None:
             return []
-        self.view.failed(self._leg_endpoint[leg], now)
+        self.view.record_failure(self._leg_endpoint[leg], now)
         if not sent:
-            self.view.distrust(self._leg_endpoint[leg])
+            self.view.invalidate_report(self._leg_endpoint[leg])
         self._drop_leg(leg)
         return self._settle(flow, flow.on_leg_lost(sent, now))
 
@@ -216,14 +216,14 @@
         """Fold a page of the fleet stream."""
         self._log_up = True
         judged = self.fleet_reader.feed(page)
-        self.view.folded(self.fleet_reader.state.members)
+        self.view.update_members(self.fleet_reader.state.members)
         return judged
 
     def adopt(self, state: state_module.FleetState) -> bool:
         """Take a peer's fleet state if it is further on."""
         adopted = self.fleet_reader.adopt(state)
         if adopted:
-            self.view.folded(self.fleet_reader.state.members)
+            self.view.update_members(self.fleet_reader.state.members)
         return adopted
 
     def claims_page(
@@ -252,7 +252,7 @@
 
     def listed(self, listing: hosts.HostList) -> None:
         """Take a reading of the host list."""
-        self.view.listed(listing)
+        self.view.update_hosts(listing)
         entries = sum(h.role is hosts.Role.ENTRY for h in listing.hosts)
         self._entries = max(1, entries)
         self.limiter.set_share(1.0 / self._entries)
@@ -294,7 +294,7 @@
         policy: admission_policy.AdmissionPolicy = self._policy(
             admission_policy.KIND, call.service
         )
-        failure = policy.refuse(
+        failure = policy.check(
             call.priority, call.deadline - now, self._pressure(call, now)
         )
         if failure is not None:
@@ -311,9 +311,9 @@
             isinstance(body, frames.Refused)
             and body.failure.code is exceptions.Code.INCARNATION_GONE
         ):
-            self.view.distrust(endpoint)
+            self.view.invalidate_report(endpoint)
             return
-        self.view.heard(endpoint, frame.load, now)
+        self.view.update_load(endpoint, frame.load, now)
 
     def _pressure(
         self, call: call_module.Call, now: datetime.datetime
--- a/src/aspenfold/_internal/expertmaps/demand.py
+++ b/src/aspenfold/_internal/expertmaps/demand_estimator.py
@@ -9,49 +9,49 @@
 
 import datetime
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 
-HALF_LIFE = datetime.timedelta(milliseconds=500)
+COUNT_HALF_LIFE = datetime.timedelta(milliseconds=500)
 """Age at which counts weigh half while demand only drifts."""
 
-MAX_GAP = datetime.timedelta(seconds=1)
+MAX_SAMPLE_AGE = datetime.timedelta(seconds=1)
 """Longest time between two samples that counts as age.  A group that
 stood still goes on with much the same demand, so that a new map can be
 made as soon as it runs; of earlier counts a quarter is left."""
 
-MIN_CHOICES = 400
+MIN_CHOICES_PER_EXPERT = 400
 """Choices for each expert, on average, below which nothing is estimated:
 about one prompt of a thousand tokens."""
 
-FIRST_CHOICES = 20_000
+MIN_INITIAL_CHOICES_PER_EXPERT = 20_000
 """Choices for each expert that a rank must have counted since its start,
 some forty requests, to be taken as a first estimate of demand."""
 
-SHIFT_OVERLAP = 0.72
+MIN_OVERLAP_WITHOUT_SHIFT = 0.72
 """Demand has shifted where new counts and those before have less than this
 in common, as the mean of the sets.  A tenth of a second's counts of one
 demand have 0.86 in common with the next, and in 95 of 100 cases over 0.8;
 across a shift it is 0.35 to 0.7."""
 
-PRIOR = 0.1
+UNIFORM_FRACTION = 0.1
 """Part of the demand that is spread evenly: an expert that was not seen
 may be chosen next."""
 
 
-class Demand:
+class DemandEstimator:
     """Demand by set and expert, the newest counts weighing most."""
 
     def __init__(self, *, sets: int, experts: int) -> None:
         self._experts = experts
-        self._last: dict[int, ranks.Counts] = {}
+        self._last: dict[int, rank_protocol.Counts] = {}
         self._weights = [0.0] * (sets * experts)
         # What was sampled and is not weighed yet.
         self._newest = [0] * (sets * experts)
         self._at: datetime.datetime | None = None
         self._since: datetime.datetime | None = None
-        self.shifts = 0
+        self.shift_count = 0
 
-    def sample(self, rank: int, counts: ranks.Counts) -> None:
+    def sample(self, rank: int, counts: rank_protocol.Counts) -> None:
         """Take a rank's counts; later ones count from the last sample.
 
         The first of a new epoch only sets a mark.
@@ -72,12 +72,12 @@
             )
         ]
 
-    def settle(self, now: datetime.datetime) -> None:
+    def process_samples(self, now: datetime.datetime) -> None:
         """Weigh what was sampled, once it is enough to tell a shift."""
-        if sum(self._newest) < MIN_CHOICES * len(self._newest):
+        if sum(self._newest) < MIN_CHOICES_PER_EXPERT * len(self._newest):
             return
-        if self._overlap() < SHIFT_OVERLAP:
-            self.shifts += 1
+        if self._overlap() < MIN_OVERLAP_WITHOUT_SHIFT:
+            self.shift_count += 1
             self._weights = [0.0] * len(self._weights)
             self._since = now
         self._decay(now)
@@ -87,7 +87,7 @@
         ]
         self._newest = [0] * len(self._newest)
 
-    def age(self, now: datetime.datetime) -> datetime.timedelta:
+    def time_since_shift(self, now: datetime.datetime) -> datetime.timedelta:
         """Return how long ago demand was seen to shift, or zero."""
         return (
             datetime.timedelta(0) if self._since is None else now - self._since
@@ -118,15 +118,15 @@
             for first in range(0, len(flat), self._experts)
         ]
 
-    def _take_first(self, counts: ranks.Counts) -> None:
+    def _take_first(self, counts: rank_protocol.Counts) -> None:
         """Let a rank's long count stand for twice the least needed.
 
         That plans a first map, and is soon outweighed by newer counts.
         """
         total = sum(counts.counts)
-        if total < FIRST_CHOICES * len(self._weights):
+        if total < MIN_INITIAL_CHOICES_PER_EXPERT * len(self._weights):
             return
-        scale = 2 * MIN_CHOICES * len(self._weights) / total
+        scale = 2 * MIN_CHOICES_PER_EXPERT * len(self._weights) / total
         for i, count in enumerate(counts.counts):
             self._weights[i] += count * scale
 
@@ -135,17 +135,21 @@
 
         Each set's demand adds up to 1.
         """
-        if sum(self._weights) < MIN_CHOICES * len(self._weights):
+        if sum(self._weights) < MIN_CHOICES_PER_EXPERT * len(self._weights):
             return None
-        even = PRIOR / self._experts
+        even = UNIFORM_FRACTION / self._experts
         result = []
         for part in self._by_set(self._weights):
             total = sum(part) or 1.0
-            result.append([even + (1 - PRIOR) * w / total for w in part])
+            result.append(
+                [even + (1 - UNIFORM_FRACTION) * w / total for w in part]
+            )
         return result
 
     def _decay(self, now: datetime.datetime) -> None:
         if self._at is not None and now > self._at:
-            factor = 0.5 ** (min(now - self._at, MAX_GAP) / HALF_LIFE)
+            factor = 0.5 ** (
+                min(now - self._at, MAX_SAMPLE_AGE) / COUNT_HALF_LIFE
+            )
             self._weights = [w * factor for w in self._weights]
         self._at = now
--- a/src/aspenfold/_internal/expertmaps/descent.py
+++ b/src/aspenfold/_internal/expertmaps/descent.py
@@ -13,23 +13,23 @@
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.models import fleet
 
-POWER = 8
+NORM_EXPONENT = 8
 """The loads' norm that moves lower: near the maximum, which sets the
 time of a pass, but with a slope where several ranks are equally hot."""
 
-HOT_RANKS = 3
+MAX_HOT_RANKS = 3
 """Hottest ranks that are tried in turn until one can be relieved."""
 
-HOT_EXPERTS = 3
+MAX_HOT_EXPERTS = 3
 """Heaviest experts of a hot rank that are tried."""
 
-COLD_RANKS = 6
+MAX_COLD_RANKS = 6
 """Least loaded ranks that are tried as the target of a move."""
 
-MIN_GAIN = 0.004
+MIN_SKEW_GAIN = 0.004
 """Skew that one new expert on a rank must save where prices are 1."""
 
-MAX_MOVES_SHARE = 0.6
+MAX_MOVED_FRACTION = 0.6
 """Stop after moving this share of all places in one plan."""
 
 
@@ -41,14 +41,14 @@
     in its place.
     """
 
-    hot: int
-    cold: int
+    source: int
+    target: int
     expert: int
-    victim: int | None
-    leaves: bool
+    displaced: int | None
+    moves_out: bool
 
 
-class Draft:
+class PlacementDraft:
     """A set's placement under change, with its loads kept up to date.
 
     ``paces`` says how much longer each rank takes for the same load; a
@@ -59,14 +59,14 @@
     def __init__(
         self,
         *,
-        shape: planner.Shape,
+        shape: planner.MapShape,
         placement: planner.Placement,
         load: abc.Sequence[float],
-        paces: abc.Sequence[float] = (),
-        copies: list[int] | None = None,
+        slowdowns: abc.Sequence[float] = (),
+        copy_budget: list[int] | None = None,
     ) -> None:
         self._shape = shape
-        self._copies = copies
+        self._copy_budget = copy_budget
         self._load = load
         self._before = [frozenset(experts) for experts in placement]
         self.ranks = [set(experts) for experts in placement]
@@ -74,10 +74,12 @@
         for rank, experts in enumerate(self.ranks):
             for expert in experts:
                 self._holders[expert].add(rank)
-        self._paces = list(paces) or [1.0] * shape.ranks
+        self._slowdowns = list(slowdowns) or [1.0] * shape.ranks
         self.totals = [
-            sum(self._share(e) for e in experts) * pace
-            for experts, pace in zip(self.ranks, self._paces, strict=True)
+            sum(self._share(e) for e in experts) * slowdown
+            for experts, slowdown in zip(
+                self.ranks, self._slowdowns, strict=True
+            )
         ]
         self._mean = max(1e-9, sum(load) / shape.ranks)
 
@@ -90,92 +92,104 @@
         """Return the largest load, by pace, over the mean without it."""
         return max(self.totals) / self._mean
 
-    def improve(self, min_gain: float) -> bool:
+    def apply_best_move(self, min_gain: float) -> bool:
         """Make the best move; False if none gains ``min_gain`` skew."""
         found = self.best_move(min_gain)
         if found is None:
             return False
-        self.make(found[1])
+        self.apply(found[1])
         return True
 
     def best_move(self, min_gain: float) -> tuple[float, Move] | None:
         """Return the best move and the skew that each copy gains."""
         order = sorted(range(len(self.totals)), key=self.totals.__getitem__)
-        norm = self._norm(sum((t / self._mean) ** POWER for t in self.totals))
-        for hot in reversed(order[-HOT_RANKS:]):
+        norm = self._norm(
+            sum((t / self._mean) ** NORM_EXPONENT for t in self.totals)
+        )
+        for source in reversed(order[-MAX_HOT_RANKS:]):
             best: tuple[float, Move] | None = None
-            for move in self._moves(hot, order[:COLD_RANKS]):
-                gain = self._gain(move, norm) / max(1, self._weights(move))
+            for move in self._moves(source, order[:MAX_COLD_RANKS]):
+                gain = self._gain(move, norm) / max(
+                    1, self._moved_weights(move)
+                )
                 if best is None or gain > best[0]:
                     best = gain, move
             if best is not None and best[0] >= min_gain:
                 return best
         return None
 
-    def may_make(self, move: Move) -> bool:
+    def is_allowed(self, move: Move) -> bool:
         """Return whether a move that was found before still fits."""
-        if not self._may_take(move.cold, move.expert):
+        if not self._may_take(move.target, move.expert):
             return False
-        if not move.leaves or move.victim is None:
+        if not move.moves_out or move.displaced is None:
             return True
-        return self._may_take(move.hot, move.victim)
+        return self._may_take(move.source, move.displaced)
 
     # -- moves -----------------------------------------------------------
 
     def _moves(
-        self, hot: int, cold_ranks: abc.Sequence[int]
+        self, source: int, cold_ranks: abc.Sequence[int]
     ) -> abc.Iterator[Move]:
-        heavy = heapq.nlargest(HOT_EXPERTS, self.ranks[hot], key=self._share)
+        heavy = heapq.nlargest(
+            MAX_HOT_EXPERTS, self.ranks[source], key=self._share
+        )
         for expert in heavy:
-            for cold in cold_ranks:
-                if cold == hot or expert in self.ranks[cold]:
+            for target in cold_ranks:
+                if target == source or expert in self.ranks[target]:
                     continue
-                if not self._may_take(cold, expert):
+                if not self._may_take(target, expert):
                     continue
-                yield from self._moves_to(hot, cold, expert)
+                yield from self._moves_to(source, target, expert)
 
     def _moves_to(
-        self, hot: int, cold: int, expert: int
+        self, source: int, target: int, expert: int
     ) -> abc.Iterator[Move]:
-        if len(self.ranks[cold]) < self._shape.slots_per_rank:
-            for leaves in (False, True):
+        if len(self.ranks[target]) < self._shape.slots_per_rank:
+            for moves_out in (False, True):
                 yield Move(
-                    hot=hot,
-                    cold=cold,
+                    source=source,
+                    target=target,
                     expert=expert,
-                    victim=None,
-                    leaves=leaves,
+                    displaced=None,
+                    moves_out=moves_out,
                 )
-        for victim in self.ranks[cold]:
-            if len(self._holders[victim]) > 1:
+        for displaced in self.ranks[target]:
+            if len(self._holders[displaced]) > 1:
                 yield Move(
-                    hot=hot,
-                    cold=cold,
+                    source=source,
+                    target=target,
                     expert=expert,
-                    victim=victim,
-                    leaves=False,
+                    displaced=displaced,
+                    moves_out=False,
                 )
-            if victim in self.ranks[hot] or not self._may_take(hot, victim):
+            if displaced in self.ranks[source] or not self._may_take(
+                source, displaced
+            ):
                 continue
             yield Move(
-                hot=hot, cold=cold, expert=expert, victim=victim, leaves=True
+                source=source,
+                target=target,
+                expert=expert,
+                displaced=displaced,
+                moves_out=True,
             )
 
     def _may_take(self, rank: int, expert: int) -> bool:
-        spare = self._shape.spare
+        max_new_experts = self._shape.max_new_experts
         if expert in self._before[rank]:
             return True
-        if self._copies is not None and self._copies[rank] <= 0:
+        if self._copy_budget is not None and self._copy_budget[rank] <= 0:
             return False
-        if spare is None:
+        if max_new_experts is None:
             return True
-        return len(self.ranks[rank] - self._before[rank]) < spare
+        return len(self.ranks[rank] - self._before[rank]) < max_new_experts
 
-    def _weights(self, move: Move) -> int:
+    def _moved_weights(self, move: Move) -> int:
         """Return how many experts the move brings to ranks."""
-        count = int(move.expert not in self._before[move.cold])
-        if move.leaves and move.victim is not None:
-            count += int(move.victim not in self._before[move.hot])
+        count = int(move.expert not in self._before[move.target])
+        if move.moves_out and move.displaced is not None:
+            count += int(move.displaced not in self._before[move.source])
         return count
 
     # -- effects ---------------------------------------------------------
@@ -189,18 +203,18 @@
         self._respread(
             change,
             move.expert,
-            add=move.cold,
-            drop=move.hot if move.leaves else None,
+            add=move.target,
+            drop=move.source if move.moves_out else None,
         )
-        if move.victim is not None:
+        if move.displaced is not None:
             self._respread(
                 change,
-                move.victim,
-                add=move.hot if move.leaves else None,
-                drop=move.cold,
+                move.displaced,
+                add=move.source if move.moves_out else None,
+                drop=move.target,
             )
         for rank in change:
-            change[rank] *= self._paces[rank]
+            change[rank] *= self._slowdowns[rank]
         return change
 
     def _respread(
@@ -226,28 +240,28 @@
 
     def _gain(self, move: Move, norm: float) -> float:
         """Return how far the move lowers the norm of the loads."""
-        powers = norm**POWER
+        powers = norm**NORM_EXPONENT
         for rank, added in self._changes(move).items():
             total = self.totals[rank]
-            powers -= (total / self._mean) ** POWER
-            powers += ((total + added) / self._mean) ** POWER
+            powers -= (total / self._mean) ** NORM_EXPONENT
+            powers += ((total + added) / self._mean) ** NORM_EXPONENT
         return norm - self._norm(powers)
 
     def _norm(self, powers: float) -> float:
-        return max(0.0, powers) ** (1.0 / POWER)
+        return max(0.0, powers) ** (1.0 / NORM_EXPONENT)
 
-    def make(self, move: Move) -> None:
+    def apply(self, move: Move) -> None:
         """Change the placement by one move."""
         for rank, added in self._changes(move).items():
             self.totals[rank] += added
-        self._place(move.expert, move.cold)
-        if move.leaves:
-            self._remove(move.expert, move.hot)
-        if move.victim is None:
+        self._place(move.expert, move.target)
+        if move.moves_out:
+            self._remove(move.expert, move.source)
+        if move.displaced is None:
             return
-        self._remove(move.victim, move.cold)
-        if move.leaves:
-            self._place(move.victim, move.hot)
+        self._remove(move.displaced, move.target)
+        if move.moves_out:
+            self._place(move.displaced, move.source)
 
     def _place(self, expert: int, rank: int) -> None:
         self.ranks[rank].add(expert)
@@ -260,24 +274,28 @@
         self._spend(rank, expert, -1)
 
     def _spend(self, rank: int, expert: int, count: int) -> None:
-        if self._copies is not None and expert not in self._before[rank]:
-            self._copies[rank] -= count
+        if self._copy_budget is not None and expert not in self._before[rank]:
+            self._copy_budget[rank] -= count
 
 
-def steps(
-    shape: planner.Shape,
+def iter_drafts(
+    shape: planner.MapShape,
     load: abc.Sequence[float],
     current: planner.Placement,
     price: fleet.MapPrice,
-    paces: abc.Sequence[float] = (),
-) -> abc.Iterator[Draft]:
+    slowdowns: abc.Sequence[float] = (),
+) -> abc.Iterator[PlacementDraft]:
     """Give the draft after each move, so that others can run between."""
-    draft = Draft(shape=shape, placement=current, load=load, paces=paces)
+    draft = PlacementDraft(
+        shape=shape, placement=current, load=load, slowdowns=slowdowns
+    )
     yield draft
-    limit = int(shape.ranks * shape.slots_per_rank * MAX_MOVES_SHARE)
-    min_gain = max(1e-6, MIN_GAIN * price.moved_weights / price.skew)
+    limit = int(shape.ranks * shape.slots_per_rank * MAX_MOVED_FRACTION)
+    min_gain = max(1e-6, MIN_SKEW_GAIN * price.moved_weights / price.skew)
     for _ in range(limit):
-        if draft.skew() <= price.skew_bound or not draft.improve(min_gain):
+        if draft.skew() <= price.skew_bound or not draft.apply_best_move(
+            min_gain
+        ):
             return
         yield draft
 
@@ -288,7 +306,7 @@
 
     def plan(
         self,
-        shape: planner.Shape,
+        shape: planner.MapShape,
         load: abc.Sequence[float],
         current: planner.Placement,
         price: fleet.MapPrice,
@@ -297,6 +315,6 @@
         if not current:
             return planner.pack(shape, load)
         placement = current
-        for draft in steps(shape, load, current, price):
+        for draft in iter_drafts(shape, load, current, price):
             placement = draft.placement
         return placement
--- a/src/aspenfold/_internal/expertmaps/greedy.py
+++ b/src/aspenfold/_internal/expertmaps/greedy.py
@@ -7,16 +7,16 @@
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.models import fleet
 
-MAX_MOVES_SHARE = 0.5
+MAX_MOVED_FRACTION = 0.5
 """Stop after moving this share of all slots in one plan."""
 
-COLD_RANKS = 24
+MAX_COLD_RANKS = 24
 """Least loaded ranks that are tried as the target of a move."""
 
-HOT_EXPERTS = 12
+MAX_HOT_EXPERTS = 12
 """Heaviest replicas of the hottest rank that are tried."""
 
-SKEW_UNIT = 0.002
+SKEW_GAIN_PER_MOVE = 0.002
 """Skew that one moved weight must save where both prices are 1."""
 
 
@@ -100,7 +100,7 @@
 
     def plan(
         self,
-        shape: planner.Shape,
+        shape: planner.MapShape,
         load: abc.Sequence[float],
         current: planner.Placement,
         price: fleet.MapPrice,
@@ -115,7 +115,7 @@
             before = draft.skew()
             hot = draft.hottest()
             move = _best_move(draft, hot)
-            if move is None or moves > slots * MAX_MOVES_SHARE:
+            if move is None or moves > slots * MAX_MOVED_FRACTION:
                 break
             draft.apply(move, hot)
             moves += move.weights
@@ -134,17 +134,17 @@
     while the skew is far above the bound.
     """
     far = draft.skew() > 1 + (price.skew_bound - 1) * 2
-    cost = move.weights * price.moved_weights * SKEW_UNIT
+    cost = move.weights * price.moved_weights * SKEW_GAIN_PER_MOVE
     return far or saved * price.skew * len(draft.totals) >= cost
 
 
 def _best_move(draft: _Draft, hot: int) -> _Move | None:
     heavy = sorted(draft.ranks[hot], key=draft.share, reverse=True)
     best: _Move | None = None
-    for cold in draft.coldest(COLD_RANKS):
+    for cold in draft.coldest(MAX_COLD_RANKS):
         if cold == hot:
             continue
-        for expert in heavy[:HOT_EXPERTS]:
+        for expert in heavy[:MAX_HOT_EXPERTS]:
             if expert in draft.ranks[cold]:
                 continue
             for move in _moves(draft, hot, cold, expert):
--- a/src/aspenfold/_internal/expertmaps/leader.py
+++ b/src/aspenfold/_internal/expertmaps/leader_machine.py
@@ -6,15 +6,15 @@
 
 from aspenfold._internal.expertmaps import messages
 
-RUN_LENGTH = 200
+STEPS_PER_GRANT = 200
 """Steps in one grant."""
 
-EXTEND_BELOW = 150
+MIN_GRANTED_STEPS_AHEAD = 150
 """Granted steps left at which the next run is granted."""
 
-RESEND = datetime.timedelta(milliseconds=200)
+RESEND_INTERVAL = datetime.timedelta(milliseconds=200)
 
-HEARTBEAT = datetime.timedelta(seconds=1)
+HEARTBEAT_INTERVAL = datetime.timedelta(seconds=1)
 """How often a rank with nothing to do is asked whether it lives."""
 
 Kind = messages.Kind
@@ -31,8 +31,8 @@
     incarnation: str
     prepared: set[int]
     step: int
-    granted_to: int
-    runs: set[messages.Run] = dataclasses.field(default_factory=set)
+    last_granted_step: int
+    runs: set[messages.StepRun] = dataclasses.field(default_factory=set)
 
 
 class LeaderMachine:
@@ -42,42 +42,42 @@
         self.group = group
         self.ranks = ranks
         self.ballot = 0
-        self.granted_to = -1
+        self.last_granted_step = -1
         self._rng = rng
         self._members: dict[int, _Member] = {}
         self._placement: Placement = ()
-        self._newest = 0
-        self._runs: list[messages.Run] = []
+        self._newest_version = 0
+        self._runs: list[messages.StepRun] = []
         self._resend_at: datetime.datetime | None = None
         self._heartbeat_at: datetime.datetime | None = None
 
-    def plan(
+    def set_plan(
         self, version: int, placement: Placement
     ) -> list[messages.Action]:
         """Take a plan of the log; versions only grow."""
-        if version <= self._newest or len(placement) != self.ranks:
+        if version <= self._newest_version or len(placement) != self.ranks:
             return []
-        self._newest = version
+        self._newest_version = version
         self._placement = placement
-        return self._prepare_rest() if self._complete else []
+        return self._prepare_missing() if self._all_promised else []
 
     def tick(self, now: datetime.datetime) -> list[messages.Action]:
         """Start, or send again what is unanswered."""
-        if not self._newest:
+        if not self._newest_version:
             return []
         if self._resend_at is not None and now < self._resend_at:
             return []
-        self._resend_at = now + RESEND
+        self._resend_at = now + RESEND_INTERVAL
         if not self.ballot:
-            self._take_ballot(0)
-        if not self._complete:
+            self._raise_ballot(0)
+        if not self._all_promised:
             return [
                 self._send(Kind.RECRUIT, rank)
                 for rank in range(self.ranks)
                 if rank not in self._members
             ]
-        result = self._prepare_rest() + self._grants_missing()
-        result.extend(self._extend())
+        result = self._prepare_missing() + self._resend_grants()
+        result.extend(self._grant_next())
         if not result and self._heartbeat_due(now):
             result = [
                 self._send(Kind.GRANT, rank) for rank in range(self.ranks)
@@ -87,11 +87,11 @@
     def receive(self, message: messages.Message) -> list[messages.Action]:
         """Take a rank's answer."""
         if message.kind is Kind.REJECTED:
-            return self._rejected(message)
+            return self._on_rejected(message)
         if message.ballot != self.ballot:
             return []
         if message.kind is Kind.PROMISED:
-            return self._promised(message)
+            return self._on_promised(message)
         member = self._members.get(message.sender)
         if member is None or member.incarnation != message.incarnation:
             return []
@@ -99,72 +99,74 @@
         member.runs.update(message.runs)
         member.step = max(member.step, message.step)
         member.runs = {run for run in member.runs if run.last > member.step}
-        return self._extend() if self._complete else []
+        return self._grant_next() if self._all_promised else []
 
     def _heartbeat_due(self, now: datetime.datetime) -> bool:
         if self._heartbeat_at is not None and now < self._heartbeat_at:
             return False
-        self._heartbeat_at = now + HEARTBEAT
+        self._heartbeat_at = now + HEARTBEAT_INTERVAL
         return True
 
     @property
-    def _complete(self) -> bool:
+    def _all_promised(self) -> bool:
         return len(self._members) == self.ranks
 
-    def _take_ballot(self, above: int) -> None:
-        counter = messages.counter(above) + 1
+    def _raise_ballot(self, above: int) -> None:
+        counter = messages.ballot_counter(above) + 1
         nonce = self._rng.getrandbits(messages.NONCE_BITS)
         self.ballot = (counter << messages.NONCE_BITS) | nonce
         self._members.clear()
         self._runs.clear()
         self._resend_at = None
 
-    def _rejected(self, message: messages.Message) -> list[messages.Action]:
+    def _on_rejected(self, message: messages.Message) -> list[messages.Action]:
         known = self._members.get(message.sender)
-        ahead = messages.counter(message.ballot)
-        if message.ballot != self.ballot and ahead >= messages.counter(
+        ahead = messages.ballot_counter(message.ballot)
+        if message.ballot != self.ballot and ahead >= messages.ballot_counter(
             self.ballot
         ):
-            self._take_ballot(message.ballot)
+            self._raise_ballot(message.ballot)
         elif known is not None and known.incarnation != message.incarnation:
-            self._take_ballot(self.ballot)
+            self._raise_ballot(self.ballot)
         return []
 
-    def _promised(self, message: messages.Message) -> list[messages.Action]:
+    def _on_promised(self, message: messages.Message) -> list[messages.Action]:
         known = self._members.get(message.sender)
         if known is not None:
             if known.incarnation != message.incarnation:
-                self._take_ballot(self.ballot)
+                self._raise_ballot(self.ballot)
             return []
         self._members[message.sender] = _Member(
             incarnation=message.incarnation,
             prepared=set(message.prepared),
             step=message.step,
-            granted_to=message.granted_to,
+            last_granted_step=message.last_granted_step,
         )
-        if not self._complete:
+        if not self._all_promised:
             return []
-        self._begin_beyond()
-        return self._prepare_rest() + self._extend()
+        self._skip_earlier_grants()
+        return self._prepare_missing() + self._grant_next()
 
-    def _begin_beyond(self) -> None:
+    def _skip_earlier_grants(self) -> None:
         """Choose the first step so that none is granted a second time.
 
         Each earlier leader may have granted one run that only a rank
         lost since was told of: it grants the next only when all ranks
         have confirmed the last.  Ballot counters grow with each leader.
         """
-        last = max(member.granted_to for member in self._members.values())
-        counter = messages.counter(self.ballot)
-        self.granted_to = last + RUN_LENGTH * counter
+        last = max(
+            member.last_granted_step for member in self._members.values()
+        )
+        counter = messages.ballot_counter(self.ballot)
+        self.last_granted_step = last + STEPS_PER_GRANT * counter
 
-    def _extend(self) -> list[messages.Action]:
+    def _grant_next(self) -> list[messages.Action]:
         """Grant the next run once all ranks confirmed the ones before.
 
         Nothing is sent again here: answers come by the hundred, and only
         the tick repeats what is missing.
         """
-        if self._grants_missing():
+        if self._resend_grants():
             return []
         slowest = min(member.step for member in self._members.values())
         self._runs = [run for run in self._runs if run.last > slowest]
@@ -172,14 +174,14 @@
             run.last - max(run.first - 1, slowest) for run in self._runs
         )
         usable = self._prepared_by_all()
-        if not usable or left >= EXTEND_BELOW:
+        if not usable or left >= MIN_GRANTED_STEPS_AHEAD:
             return []
-        run = messages.Run(
-            first=self.granted_to + 1,
-            last=self.granted_to + RUN_LENGTH,
+        run = messages.StepRun(
+            first=self.last_granted_step + 1,
+            last=self.last_granted_step + STEPS_PER_GRANT,
             version=usable,
         )
-        self.granted_to = run.last
+        self.last_granted_step = run.last
         self._runs.append(run)
         return [
             self._send(Kind.GRANT, rank, runs=(run,))
@@ -192,19 +194,19 @@
         )
         return max(shared, default=0)
 
-    def _prepare_rest(self) -> list[messages.Action]:
+    def _prepare_missing(self) -> list[messages.Action]:
         return [
             self._send(
                 Kind.PREPARE,
                 rank,
-                version=self._newest,
+                version=self._newest_version,
                 placement=self._placement,
             )
             for rank, member in self._members.items()
-            if self._newest not in member.prepared
+            if self._newest_version not in member.prepared
         ]
 
-    def _grants_missing(self) -> list[messages.Action]:
+    def _resend_grants(self) -> list[messages.Action]:
         """Grant again what a rank has neither finished nor confirmed."""
         result: list[messages.Action] = []
         for rank, member in self._members.items():
@@ -223,7 +225,7 @@
         rank: int,
         *,
         version: int = 0,
-        runs: tuple[messages.Run, ...] = (),
+        runs: tuple[messages.StepRun, ...] = (),
         placement: Placement = (),
     ) -> messages.Action:
         member = self._members.get(rank)
--- a/src/aspenfold/_internal/expertmaps/switch.py
+++ b/src/aspenfold/_internal/expertmaps/map_switch.py
@@ -29,54 +29,54 @@
 import enum
 import math
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 
-HOLDER = 0
+HOLD_RANK = 0
 """The rank on which passes are held.  With one for all leaders, a hold
 that was left behind shows on this rank, and keeps others from theirs."""
 
-RESEND = datetime.timedelta(milliseconds=100)
+RESEND_INTERVAL = datetime.timedelta(milliseconds=100)
 """Wait before an order without an answer is sent again.  Answers take a
 few milliseconds; an order that is carried out late stays harmless."""
 
-LOOK_INTERVAL = datetime.timedelta(milliseconds=250)
+REPORT_INTERVAL = datetime.timedelta(milliseconds=250)
 """Pace of reports while a round waits for copies or for its pass."""
 
-FRESH_LOOK_INTERVAL = datetime.timedelta(milliseconds=40)
+FRESH_REPORT_INTERVAL = datetime.timedelta(milliseconds=40)
 """The same while reports are fresh, which are free: a round then waits
 20 ms for the news on average, where it waited 300."""
 
-FRESH_AGE = datetime.timedelta(milliseconds=60)
+MAX_FRESH_AGE = datetime.timedelta(milliseconds=60)
 """A report is fresh up to this age: under the time of a pass."""
 
-COPY_LIMIT = datetime.timedelta(seconds=4)
+COPY_TIMEOUT = datetime.timedelta(seconds=4)
 """A round whose copies take longer is undone: they take 0.2 s."""
 
-ARM_LIMIT = datetime.timedelta(seconds=2)
+ARM_TIMEOUT = datetime.timedelta(seconds=2)
 """A round that cannot arm all ranks for so long is undone."""
 
-LEAD_PASSES = 2
+HOLD_LEAD_PASSES = 2
 """Passes that a hold must be ahead of the last one reported, beside
 those that begin while reports lag and orders travel."""
 
-HOLD_TRIES = 4
+MAX_HOLD_ATTEMPTS = 4
 """Passes that are tried one after the other; if none can be held, the
 hold of another round stands in the way."""
 
-LEAD_TIME = datetime.timedelta(milliseconds=300)
+HOLD_LEAD_TIME = datetime.timedelta(milliseconds=300)
 """Report lag, and the time that arming all ranks takes."""
 
-FRESH_LEAD_TIME = datetime.timedelta(milliseconds=30)
+FRESH_HOLD_LEAD_TIME = datetime.timedelta(milliseconds=30)
 """The same with a fresh report: an order's way to the rank."""
 
 
 class State(enum.Enum):
     """Where the machine stands."""
 
-    FREEZE = 'freeze'
+    FENCE = 'freeze'
     """All ranks are made to refuse the orders of earlier rounds."""
 
-    LOOK = 'look'
+    AWAIT_REPORTS = 'look'
     """Waits for reports that are later than the freeze."""
 
     DISARM = 'disarm'
@@ -91,7 +91,7 @@
     PREPARE = 'prepare'
     """Ranks take the new map."""
 
-    COPY = 'copy'
+    AWAIT_COPIES = 'copy'
     """Waits until all ranks have copied what is new to them."""
 
     HOLD = 'hold'
@@ -100,31 +100,37 @@
     ARM = 'arm'
     """Ranks are armed for that pass."""
 
-    LET_GO = 'let-go'
+    RELEASE_ARMED = 'let-go'
     """All are armed: the pass is released."""
 
-    PASS = 'pass'
+    AWAIT_PASS = 'pass'
     """Waits for the pass to begin."""
 
     LOST = 'lost'
     """The epoch has ended, or another leader's token is higher."""
 
 
-_ROUND = frozenset(
-    {State.PREPARE, State.COPY, State.HOLD, State.ARM, State.LET_GO}
+_ROUND_STATES = frozenset(
+    {
+        State.PREPARE,
+        State.AWAIT_COPIES,
+        State.HOLD,
+        State.ARM,
+        State.RELEASE_ARMED,
+    }
 )
 """States of a round that can still be undone."""
 
 
-_HOLDS = frozenset(
+_HOLDING_STATES = frozenset(
     {
-        State.FREEZE,
-        State.LOOK,
+        State.FENCE,
+        State.AWAIT_REPORTS,
         State.DISARM,
         State.RELEASE,
         State.HOLD,
         State.ARM,
-        State.LET_GO,
+        State.RELEASE_ARMED,
     }
 )
 """States in which a pass may be held: the group would stand still if
@@ -132,22 +138,22 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class RequestReport:
     """Ask a rank for its report."""
 
     rank: int
 
 
-Action = ranks.Order | Ask
+Action = rank_protocol.Order | RequestReport
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Sent:
-    order: ranks.Order
+    order: rank_protocol.Order
     at: datetime.datetime
 
 
-class Switch:
+class MapSwitch:
     """The machine for one epoch of one group under one leader."""
 
     def __init__(
@@ -163,16 +169,16 @@
         self.size = size
         self.state = State.READY
         self.fenced = False
-        self.undone = 0
+        self.rollbacks = 0
         self.version: int | None = None
         self.step = 0
         self.rate = 0.0
         self._token = first_token
-        self._new_map: ranks.Map = ()
+        self._new_map: rank_protocol.Map = ()
         self._pass = 0
         self._hold_tries = 0
         self._waiting: dict[int, _Sent] = {}
-        self._fresh: dict[int, ranks.Report] = {}
+        self._fresh: dict[int, rank_protocol.Report] = {}
         self._asked_at: datetime.datetime | None = None
         self._settled_at: datetime.datetime | None = None
         self._since: datetime.datetime | None = None
@@ -183,46 +189,51 @@
     # -- what the leader asks --------------------------------------------
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether a new round may begin."""
         return self.state is State.READY
 
     @property
-    def holds(self) -> bool:
+    def may_hold_pass(self) -> bool:
         """Whether the group may stand until this machine goes on."""
-        return self.state in _HOLDS
+        return self.state in _HOLDING_STATES
 
     @property
     def token(self) -> int:
         """The token of the current round."""
         return self._token
 
-    def start(
-        self, new_map: ranks.Map, now: datetime.datetime
+    def start_round(
+        self, new_map: rank_protocol.Map, now: datetime.datetime
     ) -> list[Action]:
         """Begin a round that brings ``new_map`` to the group."""
-        assert self.ready
+        assert self.is_ready
         self._token += 1
         self._new_map = new_map
         self._enter(State.PREPARE, now)
         return self._send_all(
-            ranks.Op.PREPARE, now, version=self._token, new_map=new_map
+            rank_protocol.Op.PREPARE, now, version=self._token, new_map=new_map
         )
 
-    def recover(self, now: datetime.datetime) -> list[Action]:
+    def roll_back(self, now: datetime.datetime) -> list[Action]:
         """Undo whatever stands half done, also of earlier leaders."""
-        if self.state in _ROUND:
-            self.undone += 1
+        if self.state in _ROUND_STATES:
+            self.rollbacks += 1
         self._token += 1
-        self._enter(State.FREEZE, now)
+        self._enter(State.FENCE, now)
         # No round has this version: the order changes nothing but the
         # rank's token.
-        return self._send_all(ranks.Op.DISARM, now, version=self._token)
+        return self._send_all(
+            rank_protocol.Op.DISARM, now, version=self._token
+        )
 
     # -- events ----------------------------------------------------------
 
-    def answered(
-        self, order: ranks.Order, answer: ranks.Answer, now: datetime.datetime
+    def on_answer(
+        self,
+        order: rank_protocol.Order,
+        answer: rank_protocol.Answer,
+        now: datetime.datetime,
     ) -> list[Action]:
         """A rank answered an order, or did not."""
         sent = self._waiting.get(order.rank)
@@ -231,21 +242,21 @@
         if sent.order is not order:
             return []
         match answer:
-            case ranks.Answer.NONE:
+            case rank_protocol.Answer.NONE:
                 return []
-            case ranks.Answer.FENCED:
+            case rank_protocol.Answer.FENCED:
                 self.fenced = True
                 self._enter(State.LOST, now)
                 return []
-            case ranks.Answer.REFUSED:
+            case rank_protocol.Answer.REFUSED:
                 return self._refused(order, now)
         del self._waiting[order.rank]
         if self._waiting:
             return []
         return self._all_accepted(now)
 
-    def reported(
-        self, report: ranks.Report, now: datetime.datetime
+    def on_report(
+        self, report: rank_protocol.Report, now: datetime.datetime
     ) -> list[Action]:
         """A rank's report has come."""
         if self.state is State.LOST:
@@ -253,34 +264,40 @@
         if report.epoch != self.epoch or not report.open:
             self._enter(State.LOST, now)
             return []
-        if report.rank == HOLDER:
+        if report.rank == HOLD_RANK:
             self._note_step(report, now)
-            self._is_fresh = report.age <= FRESH_AGE
-        if self.state is State.LOOK and not self._shows_answers(report, now):
+            self._is_fresh = report.age <= MAX_FRESH_AGE
+        if self.state is State.AWAIT_REPORTS and not self._shows_answers(
+            report, now
+        ):
             return []
         self._fresh[report.rank] = report
         match self.state:
-            case State.LOOK:
+            case State.AWAIT_REPORTS:
                 return self._looked(now)
-            case State.COPY:
+            case State.AWAIT_COPIES:
                 return self._copied(now)
-            case State.PASS:
+            case State.AWAIT_PASS:
                 return self._passed(report, now)
             case State.READY if report.held is not None:
                 # A report from before the release shows the pass as held.
                 if self._shows_answers(report, now):
-                    return self.recover(now)
+                    return self.roll_back(now)
         return []
 
     def tick(self, now: datetime.datetime) -> list[Action]:
         """Send again, ask again, or undo a round that takes too long."""
         if self._overdue(now):
-            return self.recover(now)
-        if self.state in (State.LOOK, State.COPY, State.PASS):
+            return self.roll_back(now)
+        if self.state in (
+            State.AWAIT_REPORTS,
+            State.AWAIT_COPIES,
+            State.AWAIT_PASS,
+        ):
             return self._ask(now)
         result: list[Action] = []
         for sent in self._waiting.values():
-            if now - sent.at >= RESEND:
+            if now - sent.at >= RESEND_INTERVAL:
                 sent.at = now
                 result.append(sent.order)
         return result
@@ -289,9 +306,9 @@
 
     def _all_accepted(self, now: datetime.datetime) -> list[Action]:
         match self.state:
-            case State.FREEZE:
+            case State.FENCE:
                 self._settled_at = now
-                self._enter(State.LOOK, now)
+                self._enter(State.AWAIT_REPORTS, now)
             case State.DISARM:
                 return self._release(State.RELEASE, now)
             case State.RELEASE:
@@ -299,43 +316,47 @@
                 self._enter(State.READY, now)
             case State.PREPARE:
                 self._settled_at = now
-                self._enter(State.COPY, now)
+                self._enter(State.AWAIT_COPIES, now)
             case State.HOLD:
                 return self._arm(now)
             case State.ARM:
-                return self._release(State.LET_GO, now)
-            case State.LET_GO:
+                return self._release(State.RELEASE_ARMED, now)
+            case State.RELEASE_ARMED:
                 self._settled_at = now
-                self._enter(State.PASS, now)
+                self._enter(State.AWAIT_PASS, now)
         return []
 
     def _refused(
-        self, order: ranks.Order, now: datetime.datetime
+        self, order: rank_protocol.Order, now: datetime.datetime
     ) -> list[Action]:
-        if self.state is State.FREEZE:
+        if self.state is State.FENCE:
             # Only in another epoch does this order not fit.
             self._enter(State.LOST, now)
             return []
-        if self.state is State.HOLD and self._hold_tries < HOLD_TRIES:
+        if self.state is State.HOLD and self._hold_tries < MAX_HOLD_ATTEMPTS:
             # The pass has begun: hold a later one.  Nothing is armed.
             self._pass += max(self._lead(), self._hold_tries)
             return self._hold(now)
-        return self.recover(now)
+        return self.roll_back(now)
 
     def _arm(self, now: datetime.datetime) -> list[Action]:
         self._enter(State.ARM, now)
         return self._send_all(
-            ranks.Op.ARM, now, version=self._token, step=self._pass
+            rank_protocol.Op.ARM, now, version=self._token, step=self._pass
         )
 
     def _release(self, state: State, now: datetime.datetime) -> list[Action]:
         self._enter(state, now)
-        return self._send(HOLDER, ranks.Op.RELEASE, now, step=self._pass)
+        return self._send(
+            HOLD_RANK, rank_protocol.Op.RELEASE, now, step=self._pass
+        )
 
     def _hold(self, now: datetime.datetime) -> list[Action]:
         self._hold_tries += 1
         self._enter(State.HOLD, now)
-        return self._send(HOLDER, ranks.Op.HOLD, now, step=self._pass)
+        return self._send(
+            HOLD_RANK, rank_protocol.Op.HOLD, now, step=self._pass
+        )
 
     # -- reports ---------------------------------------------------------
 
@@ -346,7 +367,7 @@
             self._fresh.clear()
         if len(self._fresh) < self.size:
             return []
-        held = self._fresh[HOLDER].held
+        held = self._fresh[HOLD_RANK].held
         armed = [r for r in self._fresh.values() if r.armed is not None]
         if held is None:
             # A pass was released, so all ranks were armed for it, if any
@@ -354,7 +375,7 @@
             if armed:
                 self._fresh.clear()
                 return []
-            self.version = self._fresh[HOLDER].version
+            self.version = self._fresh[HOLD_RANK].version
             self._enter(State.READY, now)
             return []
         self._pass = held
@@ -366,7 +387,7 @@
             assert report.armed is not None
             result += self._send(
                 report.rank,
-                ranks.Op.DISARM,
+                rank_protocol.Op.DISARM,
                 now,
                 version=report.armed.version,
             )
@@ -388,17 +409,17 @@
         A hold that comes too late is refused and tried for a later pass.
         """
         if self._is_fresh:
-            return 1 + int(self.rate * FRESH_LEAD_TIME.total_seconds())
+            return 1 + int(self.rate * FRESH_HOLD_LEAD_TIME.total_seconds())
         return self._lagging_lead()
 
     def _lagging_lead(self) -> int:
-        lead = math.ceil(self.rate * LEAD_TIME.total_seconds())
-        return lead + LEAD_PASSES
+        lead = math.ceil(self.rate * HOLD_LEAD_TIME.total_seconds())
+        return lead + HOLD_LEAD_PASSES
 
     def _passed(
-        self, report: ranks.Report, now: datetime.datetime
+        self, report: rank_protocol.Report, now: datetime.datetime
     ) -> list[Action]:
-        if report.rank != HOLDER:
+        if report.rank != HOLD_RANK:
             return []
         if report.version == self._token:
             self.version = self._token
@@ -406,14 +427,14 @@
             return []
         if report.held is not None and self._shows_answers(report, now):
             # An order to hold that had no answer was carried out late.
-            return self._release(State.LET_GO, now)
+            return self._release(State.RELEASE_ARMED, now)
         if report.step > self._pass + self._lagging_lead():
             # Should never be: the pass was begun with another map.
-            return self.recover(now)
+            return self.roll_back(now)
         return []
 
     def _shows_answers(
-        self, report: ranks.Report, now: datetime.datetime
+        self, report: rank_protocol.Report, now: datetime.datetime
     ) -> bool:
         """Whether a report shows what the last answers brought about."""
         settled = self._settled_at
@@ -423,9 +444,11 @@
         """Whether lagging reports cannot show the last answers yet."""
         if self._is_fresh or self._settled_at is None:
             return False
-        return now - self._settled_at < ranks.REPORT_LAG
+        return now - self._settled_at < rank_protocol.MAX_REPORT_AGE
 
-    def _note_step(self, report: ranks.Report, now: datetime.datetime) -> None:
+    def _note_step(
+        self, report: rank_protocol.Report, now: datetime.datetime
+    ) -> None:
         """Keep the last pass and the rate of passes."""
         self.step = max(self.step, report.step)
         if self._stepped is not None:
@@ -450,40 +473,42 @@
         since = self._since
         if since is None:
             return False
-        if self.state in (State.PREPARE, State.COPY):
-            return now - since > COPY_LIMIT
+        if self.state in (State.PREPARE, State.AWAIT_COPIES):
+            return now - since > COPY_TIMEOUT
         if self.state in (State.HOLD, State.ARM):
-            return now - since > ARM_LIMIT
+            return now - since > ARM_TIMEOUT
         return False
 
     def _ask(self, now: datetime.datetime) -> list[Action]:
         """Ask for reports, each time for all that are still needed."""
-        if self.state is State.LOOK and self._too_early(now):
+        if self.state is State.AWAIT_REPORTS and self._too_early(now):
             return []
-        interval = FRESH_LOOK_INTERVAL if self._is_fresh else LOOK_INTERVAL
+        interval = FRESH_REPORT_INTERVAL if self._is_fresh else REPORT_INTERVAL
         asked = self._asked_at
         if asked is not None and now - asked < interval:
             return []
         self._asked_at = now
-        if self.state is State.PASS:
-            return [Ask(rank=HOLDER)]
+        if self.state is State.AWAIT_PASS:
+            return [RequestReport(rank=HOLD_RANK)]
         done: abc.Container[int] = ()
-        if self.state is State.COPY:
+        if self.state is State.AWAIT_COPIES:
             done = {
                 r.rank
                 for r in self._fresh.values()
-                if r.prepared == self._token and r.rank != HOLDER
+                if r.prepared == self._token and r.rank != HOLD_RANK
             }
-        return [Ask(rank=r) for r in range(self.size) if r not in done]
+        return [
+            RequestReport(rank=r) for r in range(self.size) if r not in done
+        ]
 
     def _send_all(
         self,
-        op: ranks.Op,
+        op: rank_protocol.Op,
         now: datetime.datetime,
         *,
         version: int = 0,
         step: int = 0,
-        new_map: ranks.Map = (),
+        new_map: rank_protocol.Map = (),
     ) -> list[Action]:
         result: list[Action] = []
         for rank in range(self.size):
@@ -495,14 +520,14 @@
     def _send(
         self,
         rank: int,
-        op: ranks.Op,
+        op: rank_protocol.Op,
         now: datetime.datetime,
         *,
         version: int = 0,
         step: int = 0,
-        new_map: ranks.Map = (),
+        new_map: rank_protocol.Map = (),
     ) -> list[Action]:
-        order = ranks.Order(
+        order = rank_protocol.Order(
             rank=rank,
             op=op,
             epoch=self.epoch,
--- a/src/aspenfold/_internal/expertmaps/messages.py
+++ b/src/aspenfold/_internal/expertmaps/messages.py
@@ -20,7 +20,7 @@
 """Low bits of a ballot, random, so that no two leaders share one."""
 
 
-def counter(ballot: int) -> int:
+def ballot_counter(ballot: int) -> int:
     """Return the part of a ballot that every new leader raises."""
     return ballot >> NONCE_BITS
 
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True, order=True)
-class Run:
+class StepRun:
     """Steps ``first`` to ``last``, both included, use map ``version``."""
 
     first: int
@@ -55,9 +55,9 @@
     ballot: int
     incarnation: str = ''
     version: int = 0
-    runs: tuple[Run, ...] = ()
+    runs: tuple[StepRun, ...] = ()
     prepared: tuple[int, ...] = ()
-    granted_to: int = -1
+    last_granted_step: int = -1
     step: int = -1
     placement: tuple[tuple[int, ...], ...] = ()
 
@@ -89,7 +89,7 @@
 class OrderGrant:
     """Give the engine a run of steps."""
 
-    run: Run
+    run: StepRun
     fencing: int
 
 
--- a/src/aspenfold/_internal/expertmaps/planner.py
+++ b/src/aspenfold/_internal/expertmaps/planner.py
@@ -18,17 +18,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Shape:
+class MapShape:
     """Sizes of a group's map.
 
-    ``spare`` bounds how many experts that a rank does not hold one
+    ``max_new_experts`` bounds how many experts that a rank does not hold one
     change may bring to it; None for no bound.
     """
 
     ranks: int
     experts: int
     slots_per_rank: int
-    spare: int | None = None
+    max_new_experts: int | None = None
 
 
 class MapPlanner(typing.Protocol):
@@ -36,7 +36,7 @@
 
     def plan(
         self,
-        shape: Shape,
+        shape: MapShape,
         load: abc.Sequence[float],
         current: Placement,
         price: fleet.MapPrice,
@@ -62,7 +62,7 @@
     return max(loads) / mean if mean else 1.0
 
 
-def moved(
+def moved_weights(
     old: abc.Sequence[abc.Collection[int]],
     new: abc.Sequence[abc.Collection[int]],
 ) -> int:
@@ -73,7 +73,7 @@
     )
 
 
-def replicate(shape: Shape, load: abc.Sequence[float]) -> list[int]:
+def allocate_replicas(shape: MapShape, load: abc.Sequence[float]) -> list[int]:
     """Return each expert's replica count: spare slots go to the hottest."""
     counts = [1] * shape.experts
     spare = shape.ranks * shape.slots_per_rank - shape.experts
@@ -89,9 +89,9 @@
     return counts
 
 
-def pack(shape: Shape, load: abc.Sequence[float]) -> Placement:
+def pack(shape: MapShape, load: abc.Sequence[float]) -> Placement:
     """Pack replicas, heaviest first, on the least loaded rank with room."""
-    counts = replicate(shape, load)
+    counts = allocate_replicas(shape, load)
     pieces = sorted(
         ((load[e] / counts[e], e) for e in range(shape.experts)),
         reverse=True,
@@ -117,7 +117,7 @@
 
     def plan(
         self,
-        shape: Shape,
+        shape: MapShape,
         load: abc.Sequence[float],
         current: Placement,
         price: fleet.MapPrice,
@@ -132,7 +132,7 @@
 
     def plan(
         self,
-        shape: Shape,
+        shape: MapShape,
         load: abc.Sequence[float],
         current: Placement,
         price: fleet.MapPrice,
--- a/src/aspenfold/_internal/expertmaps/ranks.py
+++ b/src/aspenfold/_internal/expertmaps/rank_protocol.py
@@ -8,7 +8,7 @@
 import datetime
 import enum
 
-REPORT_LAG = datetime.timedelta(milliseconds=500)
+MAX_REPORT_AGE = datetime.timedelta(milliseconds=500)
 """Reports that an engine gives to other hosts are about 200 ms old; they
 surely show by then what an answer before them brought about."""
 
@@ -47,8 +47,8 @@
     prepared: int | None
     armed: Armed | None
     held: int | None
-    pace: float = 1.0
-    age: datetime.timedelta = REPORT_LAG
+    slowdown: float = 1.0
+    age: datetime.timedelta = MAX_REPORT_AGE
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/aspenfold/_internal/expertmaps/staged.py
+++ b/src/aspenfold/_internal/expertmaps/stage_planner.py
@@ -13,7 +13,7 @@
 from aspenfold._internal.expertmaps import descent
 from aspenfold._internal.expertmaps import planner
 
-MIN_GAIN = 0.02
+MIN_SKEW_GAIN = 0.02
 """Skew of one set that a copy must save: less is within the noise of a
 tenth of a second's counts."""
 
@@ -26,27 +26,27 @@
     move: descent.Move
 
 
-class Stage:
+class StagePlanner:
     """Drafts of all sets that share the ranks' copies."""
 
     def __init__(
         self,
         *,
-        shape: planner.Shape,
+        shape: planner.MapShape,
         loads: abc.Sequence[abc.Sequence[float]],
         current: abc.Sequence[planner.Placement],
-        paces: abc.Sequence[float],
-        copies: int,
+        slowdowns: abc.Sequence[float],
+        max_copies_per_rank: int,
     ) -> None:
         """``copies`` bounds the experts that are new to any rank."""
-        left = [copies] * shape.ranks
+        left = [max_copies_per_rank] * shape.ranks
         self.drafts = [
-            descent.Draft(
+            descent.PlacementDraft(
                 shape=shape,
                 placement=placement,
                 load=load,
-                paces=paces,
-                copies=left,
+                slowdowns=slowdowns,
+                copy_budget=left,
             )
             for load, placement in zip(loads, current, strict=True)
         ]
@@ -56,7 +56,7 @@
         """Return the mean skew of the sets as drafted."""
         return sum(d.skew() for d in self.drafts) / len(self.drafts)
 
-    def steps(self) -> abc.Iterator[None]:
+    def iter_moves(self) -> abc.Iterator[None]:
         """Make the moves that pay; pause after each search for one."""
         for number in range(len(self.drafts)):
             self._search(number)
@@ -64,13 +64,13 @@
         while self._best:
             number = max(self._best, key=lambda n: self._best[n].gain)
             draft, best = self.drafts[number], self._best[number]
-            if draft.may_make(best.move):
-                draft.make(best.move)
+            if draft.is_allowed(best.move):
+                draft.apply(best.move)
             self._search(number)
             yield
 
     def _search(self, number: int) -> None:
-        found = self.drafts[number].best_move(MIN_GAIN)
+        found = self.drafts[number].best_move(MIN_SKEW_GAIN)
         if found is None:
             self._best.pop(number, None)
             return
--- a/src/aspenfold/_internal/expertmaps/sticky.py
+++ b/src/aspenfold/_internal/expertmaps/sticky.py
@@ -17,8 +17,8 @@
 """Weights that a skew of 1 above the bound is worth, a rank."""
 
 
-def replica_counts(
-    shape: planner.Shape,
+def adjust_replicas(
+    shape: planner.MapShape,
     load: abc.Sequence[float],
     current: planner.Placement,
 ) -> list[int]:
@@ -46,7 +46,7 @@
 
 
 def pack_near(
-    shape: planner.Shape,
+    shape: planner.MapShape,
     load: abc.Sequence[float],
     current: planner.Placement,
     tolerance: float,
@@ -55,7 +55,7 @@
 
     A rank has room up to ``tolerance`` times the mean load.
     """
-    counts = replica_counts(shape, load, current)
+    counts = adjust_replicas(shape, load, current)
     limit = sum(load) / shape.ranks * tolerance
     held = [set(experts) for experts in current]
     placed: list[set[int]] = [set() for _ in range(shape.ranks)]
@@ -93,7 +93,7 @@
 
     def plan(
         self,
-        shape: planner.Shape,
+        shape: planner.MapShape,
         load: abc.Sequence[float],
         current: planner.Placement,
         price: fleet.MapPrice,
@@ -114,7 +114,7 @@
 
 
 def _price(
-    shape: planner.Shape,
+    shape: planner.MapShape,
     load: abc.Sequence[float],
     current: planner.Placement,
     plan: planner.Placement,
@@ -123,7 +123,7 @@
     if sum(len(experts) for experts in plan) < shape.experts:
         return float('inf')
     excess = max(0.0, planner.skew(plan, load) - price.skew_bound)
-    weights = planner.moved(current, plan)
+    weights = planner.moved_weights(current, plan)
     return (
         excess * price.skew * SKEW_PRICE * shape.ranks
         + weights * price.moved_weights
--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -16,7 +16,7 @@
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.observability import events
 from aspenfold._internal.observability import metrics as metrics_module
-from aspenfold._internal.retries import shared
+from aspenfold._internal.retries import shared_budget
 from aspenfold._internal import routing
 from aspenfold._internal.routing import policy as routing_policy
 
@@ -50,7 +50,7 @@
         self.adopted_at: datetime.datetime | None = None
         self.draining = False
         self.refusing = False
-        self._budgets: dict[str, shared.SharedBudget] = {}
+        self._budgets: dict[str, shared_budget.SharedBudget] = {}
         self.outages = outages.Outages(clock=clock)
         self._plain_routing = self._routing(PLAIN_ROUTING)
         self._group_routing = self._routing(GROUP_ROUTING)
@@ -166,13 +166,13 @@
 
     def least_budget(self) -> float:
         """Return the fewest attempts left of any service's budget."""
-        return min((b.left for b in self._budgets.values()), default=0.0)
+        return min((b.available for b in self._budgets.values()), default=0.0)
 
-    def budget(self, service: str) -> shared.SharedBudget:
+    def budget(self, service: str) -> shared_budget.SharedBudget:
         """Return the service's retry budget."""
         known = self._budgets.get(service)
         if known is None:
-            known = shared.SharedBudget(
+            known = shared_budget.SharedBudget(
                 ratio=self.cfg.retry_ratio, slack=self.cfg.retry_slack
             )
             self._budgets[service] = known
--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -85,7 +85,7 @@
         self.free = await self._sample(endpoints, free=True, whole=whole)
         if not self.free:
             await self._sample(endpoints, free=False, whole=False)
-        self._planner.settle()
+        self._planner.process_samples()
 
     async def _sample(
         self,
--- a/src/aspenfold/_internal/gateway/directory.py
+++ b/src/aspenfold/_internal/gateway/directory.py
@@ -92,7 +92,7 @@
         return seen * self.pace / self.listing.capacity
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether one more request would start at once."""
         return self.pressure <= 1.0 - 1.0 / self.listing.capacity
 
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -59,7 +59,7 @@
         if route is None:
             return
         history = outcome.History(route=route)
-        self._core.budget(self._call.service).request()
+        self._core.budget(self._call.service).record_request()
         try:
             await self._attempts(history)
         except asyncio.CancelledError:
@@ -144,7 +144,7 @@
             end = outcome.End.DECLINED
         # What no endpoint got yet is not sent *again*.
         free = history.sent == 0
-        allowed = free or budget.left >= 1
+        allowed = free or budget.available >= 1
         step = outcome.after(history, end, budget=allowed)
         if step is outcome.Step.REFUSE and end is outcome.End.DOWN:
             sends = history.sent < history.route.max_attempts
@@ -311,7 +311,7 @@
             endpoint=endpoint.name,
             end=end.value,
             age_ms=self._call.age_ms,
-            budget=round(self._core.budget(self._call.service).left, 1),
+            budget=round(self._core.budget(self._call.service).available, 1),
         )
 
 
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -2,14 +2,14 @@
 
 One gateway at a time does this, under a lease in the store.  Its orders
 are safe without the lease, see :mod:`aspenfold._internal.expertmaps.\
-switch`.
+map_switch`.
 """
 
 import asyncio
 import datetime
 
-from aspenfold._internal.expertmaps import ranks
-from aspenfold._internal.expertmaps import switch as switch_module
+from aspenfold._internal.expertmaps import map_switch
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import count_reader
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import map_planner
@@ -73,10 +73,10 @@
         self._ranks = ranks_client
         self._clock = clock
         self._peers = peers
-        self._switch: switch_module.Switch | None = None
+        self._switch: map_switch.MapSwitch | None = None
         self._endpoints: dict[int, directory.Endpoint] = {}
-        self._map: ranks.Map = ()
-        self._next_map: ranks.Map = ()
+        self._map: rank_protocol.Map = ()
+        self._next_map: rank_protocol.Map = ()
         self._planner = map_planner.MapPlanner(
             service=service, shape=shape, clock=clock
         )
@@ -85,7 +85,7 @@
         )
         self._paces: dict[int, float] = {}
         self._paced_at: datetime.datetime | None = None
-        self._told_state: switch_module.State | None = None
+        self._told_state: map_switch.State | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.ending = False
         self._stopped = False
@@ -100,7 +100,7 @@
     @property
     def holds(self) -> bool:
         """Whether the group may stand until this leader goes on."""
-        return self._switch is not None and self._switch.holds
+        return self._switch is not None and self._switch.may_hold_pass
 
     def stop(self) -> None:
         """Send no more orders, whatever answers still come."""
@@ -134,7 +134,7 @@
         found: dict[int, directory.Endpoint] = {}
         epochs: set[int] = set()
         size = 0
-        holder: ranks.Report | None = None
+        holder: rank_protocol.Report | None = None
         for endpoint, report in zip(members, reports, strict=True):
             if report is None or report.group != self._group:
                 continue
@@ -143,7 +143,7 @@
             found[report.rank] = endpoint
             epochs.add(report.epoch)
             size = report.size
-            if report.rank == switch_module.HOLDER:
+            if report.rank == map_switch.HOLD_RANK:
                 holder = report
         if holder is None or len(epochs) != 1 or len(found) != size:
             await self._wait_to_find()
@@ -161,7 +161,9 @@
         await asyncio.sleep(wait.total_seconds())
 
     async def _take_group(
-        self, found: dict[int, directory.Endpoint], holder: ranks.Report
+        self,
+        found: dict[int, directory.Endpoint],
+        holder: rank_protocol.Report,
     ) -> None:
         """Lead the group; a pass that is held already is released soon."""
         epoch, version = holder.epoch, holder.version
@@ -172,7 +174,7 @@
         self._endpoints = found
         # Demand may be known already: look at once whether a map pays.
         self._counts.hurry()
-        self._switch = switch_module.Switch(
+        self._switch = map_switch.MapSwitch(
             group=self._group,
             epoch=epoch,
             size=len(found),
@@ -187,19 +189,19 @@
             held=holder.held,
         )
         self._perform(
-            self._switch, self._switch.reported(holder, self._clock.now())
+            self._switch, self._switch.on_report(holder, self._clock.now())
         )
 
     async def _current_map(
         self, found: dict[int, directory.Endpoint], version: int
-    ) -> ranks.Map | None:
+    ) -> rank_protocol.Map | None:
         """Return the map in use, None if it cannot be read whole."""
         if version == 0:
             return map_planner.initial_map(len(found), self._shape)
         held = await asyncio.gather(
             *(self._ranks.held(found[rank]) for rank in sorted(found))
         )
-        by_rank: list[ranks.SetMap] = []
+        by_rank: list[rank_protocol.SetMap] = []
         for rank_map in held:
             if rank_map is None or rank_map.version != version:
                 return None
@@ -211,17 +213,17 @@
 
     # -- leading ---------------------------------------------------------
 
-    async def _turn(self, switch: switch_module.Switch) -> None:
+    async def _turn(self, switch: map_switch.MapSwitch) -> None:
         now = self._clock.now()
         self._perform(switch, switch.tick(now))
         # A group that refuses requests opens in a new epoch.
-        broken = self._outage.lasts and not switch.holds
-        if broken or switch.state is switch_module.State.LOST:
+        broken = self._outage.lasts and not switch.may_hold_pass
+        if broken or switch.state is map_switch.State.LOST:
             self._leave(switch)
             return
         await self._watch(switch, now)
 
-    def _leave(self, switch: switch_module.Switch) -> None:
+    def _leave(self, switch: map_switch.MapSwitch) -> None:
         self._switch = None
         # Ranks that did not restart go on to refuse lower tokens.
         self._first_token = switch.token
@@ -234,12 +236,12 @@
         )
 
     async def _watch(
-        self, switch: switch_module.Switch, now: datetime.datetime
+        self, switch: map_switch.MapSwitch, now: datetime.datetime
     ) -> None:
         """Sample demand, and begin a round where a new map pays."""
         if not self._counts.turn(self._endpoints, now):
             return
-        if not switch.ready or self.ending:
+        if not switch.is_ready or self.ending:
             return
         if switch.version == switch.token and self._next_map:
             self._map = self._next_map
@@ -247,20 +249,22 @@
         self._perform(switch, self._asks(now))
         self._tell_paces()
         new_map = await self._planner.plan(self._map, self._pace_list())
-        if new_map is None or not switch.ready or self.ending:
+        if new_map is None or not switch.is_ready or self.ending:
             return
         self._next_map = new_map
         self.changes += 1
-        self._perform(switch, switch.start(new_map, self._clock.now()))
+        self._perform(switch, switch.start_round(new_map, self._clock.now()))
 
-    def _asks(self, now: datetime.datetime) -> list[switch_module.Action]:
+    def _asks(self, now: datetime.datetime) -> list[map_switch.Action]:
         """Ask the rank that may be held, and at times all for their pace."""
         last = self._paced_at
         wait = FREE_PACE_INTERVAL if self._counts.free else PACE_INTERVAL
         if last is not None and now - last < wait:
-            return [switch_module.Ask(rank=switch_module.HOLDER)]
+            return [map_switch.RequestReport(rank=map_switch.HOLD_RANK)]
         self._paced_at = now
-        return [switch_module.Ask(rank=rank) for rank in self._endpoints]
+        return [
+            map_switch.RequestReport(rank=rank) for rank in self._endpoints
+        ]
 
     def _pace_list(self) -> list[float]:
         return [self._paces.get(rank, 1.0) for rank in sorted(self._endpoints)]
@@ -288,8 +292,8 @@
 
     def _perform(
         self,
-        switch: switch_module.Switch,
-        actions: list[switch_module.Action],
+        switch: map_switch.MapSwitch,
+        actions: list[map_switch.Action],
     ) -> None:
         if self._stopped:
             return
@@ -299,20 +303,20 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _act(
-        self, switch: switch_module.Switch, action: switch_module.Action
+        self, switch: map_switch.MapSwitch, action: map_switch.Action
     ) -> None:
         endpoint = self._endpoints[action.rank]
-        if isinstance(action, switch_module.Ask):
+        if isinstance(action, map_switch.RequestReport):
             report = await self._ranks.report(endpoint)
             if report is None or self._switch is not switch:
                 return
-            self._paces[report.rank] = report.pace
-            more = switch.reported(report, self._clock.now())
+            self._paces[report.rank] = report.slowdown
+            more = switch.on_report(report, self._clock.now())
         else:
             answer = await self._ranks.order(endpoint, action)
             if self._switch is not switch:
                 return
-            if answer is not ranks.Answer.ACCEPTED:
+            if answer is not rank_protocol.Answer.ACCEPTED:
                 events.emit(
                     events.Event.ORDER_REFUSED,
                     rank=action.rank,
@@ -320,11 +324,11 @@
                     token=action.token,
                     answer=answer.value,
                 )
-            more = switch.answered(action, answer, self._clock.now())
+            more = switch.on_answer(action, answer, self._clock.now())
         self._tell_state(switch)
         self._perform(switch, more)
 
-    def _tell_state(self, switch: switch_module.Switch) -> None:
+    def _tell_state(self, switch: map_switch.MapSwitch) -> None:
         """Log a change of map's next state, once."""
         if switch.state is self._told_state:
             return
--- a/src/aspenfold/_internal/gateway/group_watch.py
+++ b/src/aspenfold/_internal/gateway/group_watch.py
@@ -9,7 +9,7 @@
 import asyncio
 import random
 
-from aspenfold._internal.expertmaps import switch
+from aspenfold._internal.expertmaps import map_switch
 from aspenfold._internal.gateway import core as core_module
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import rank_client
@@ -84,7 +84,7 @@
             *(self._ranks.report(e, free=True) for e in by_group.values())
         )
         for (service, group), report in zip(by_group, reports, strict=True):
-            if report is None or report.age > switch.FRESH_AGE:
+            if report is None or report.age > map_switch.MAX_FRESH_AGE:
                 continue
             if report.open and report.group == group:
                 self._core.outages.runs(service, group)
--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -7,10 +7,10 @@
 from collections import abc
 import datetime
 
-from aspenfold._internal.expertmaps import demand as demand_module
+from aspenfold._internal.expertmaps import demand_estimator
 from aspenfold._internal.expertmaps import planner
-from aspenfold._internal.expertmaps import ranks
-from aspenfold._internal.expertmaps import staged
+from aspenfold._internal.expertmaps import rank_protocol
+from aspenfold._internal.expertmaps import stage_planner
 from aspenfold._internal.gateway import plan as plan_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
@@ -46,7 +46,7 @@
         self._service = service
         self._shape = shape
         self._clock = clock
-        self._demand = demand_module.Demand(
+        self._demand = demand_estimator.DemandEstimator(
             sets=shape.sets, experts=shape.experts
         )
         # The skew at which the last stage that was planned did not pay.
@@ -55,17 +55,17 @@
         self.hurried = False
         self.skew = 0.0
 
-    def sample(self, rank: int, counts: ranks.Counts) -> None:
+    def sample(self, rank: int, counts: rank_protocol.Counts) -> None:
         """Take how often a rank's requests chose each expert."""
         self._demand.sample(rank, counts)
 
-    def settle(self) -> None:
+    def process_samples(self) -> None:
         """Weigh what was sampled since the last time."""
-        self._demand.settle(self._clock.now())
+        self._demand.process_samples(self._clock.now())
 
     async def plan(
-        self, current: ranks.Map, paces: abc.Sequence[float]
-    ) -> ranks.Map | None:
+        self, current: rank_protocol.Map, paces: abc.Sequence[float]
+    ) -> rank_protocol.Map | None:
         """Return a map that pays for its change, None if there is none.
 
         ``current`` is the map in use, ``paces`` how much longer each rank
@@ -74,22 +74,22 @@
         loads = self._demand.loads()
         if loads is None:
             return None
-        stage = staged.Stage(
-            shape=planner.Shape(
+        stage = stage_planner.StagePlanner(
+            shape=planner.MapShape(
                 ranks=len(paces),
                 experts=self._shape.experts,
                 slots_per_rank=self._shape.slots_per_rank,
-                spare=self._shape.spare,
+                max_new_experts=self._shape.spare,
             ),
             loads=loads,
             current=[[list(held) for held in one] for one in current],
-            paces=paces,
-            copies=self._copies,
+            slowdowns=paces,
+            max_copies_per_rank=self._copies,
         )
         self.skew = stage.skew()
         if not self._worth_planning():
             return None
-        for _ in stage.steps():
+        for _ in stage.iter_moves():
             await asyncio.sleep(0)
         after = stage.skew()
         self._planned_at = self._clock.now()
@@ -107,11 +107,11 @@
             service=self._service,
             skew_before=round(self.skew, 3),
             skew_after=round(after, 3),
-            moved=sum(
-                planner.moved(old, new)
+            moved_weights=sum(
+                planner.moved_weights(old, new)
                 for old, new in zip(current, sets, strict=True)
             ),
-            demand_age_ms=self._demand.age(self._planned_at)
+            demand_age_ms=self._demand.time_since_shift(self._planned_at)
             // clock_module.MILLISECOND,
         )
         return sets
@@ -134,7 +134,7 @@
         return due or gain >= MIN_SKEW_GAIN
 
 
-def initial_map(size: int, shape: plan_module.GroupShape) -> ranks.Map:
+def initial_map(size: int, shape: plan_module.GroupShape) -> rank_protocol.Map:
     """Return map 0, which assigns experts to ranks in turn."""
     one = tuple(
         tuple(range(rank, shape.experts, size)) for rank in range(size)
--- a/src/aspenfold/_internal/gateway/ports.py
+++ b/src/aspenfold/_internal/gateway/ports.py
@@ -5,7 +5,7 @@
 import datetime
 import typing
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import plan
 
@@ -92,18 +92,18 @@
     :meth:`report` and :meth:`counts` raise :class:`EngineSilent`.
     """
 
-    async def report(self, host: str, port: int) -> ranks.Report:
+    async def report(self, host: str, port: int) -> rank_protocol.Report:
         """Return a rank's state."""
 
-    async def counts(self, host: str, port: int) -> ranks.Counts:
+    async def counts(self, host: str, port: int) -> rank_protocol.Counts:
         """Return how often a rank's requests chose each expert."""
 
-    async def held(self, host: str, port: int) -> ranks.RankMap:
+    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that a rank uses."""
 
     async def order(
-        self, host: str, port: int, order: ranks.Order
-    ) -> ranks.Answer:
+        self, host: str, port: int, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Give a rank an order."""
 
 
--- a/src/aspenfold/_internal/gateway/rank_client.py
+++ b/src/aspenfold/_internal/gateway/rank_client.py
@@ -23,7 +23,7 @@
 import datetime
 import typing
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings
@@ -80,7 +80,7 @@
 
     async def report(
         self, endpoint: directory.Endpoint, *, free: bool = False
-    ) -> ranks.Report | None:
+    ) -> rank_protocol.Report | None:
         """Return a rank's report, None if it is silent.
 
         ``free``: only through its agent.
@@ -90,12 +90,12 @@
             return None
         age = asked.took
         if not asked.by_agent:
-            age += ranks.REPORT_LAG
+            age += rank_protocol.MAX_REPORT_AGE
         return dataclasses.replace(asked.answer, age=age)
 
     async def counts(
         self, endpoint: directory.Endpoint, *, free: bool = False
-    ) -> ranks.Counts | None:
+    ) -> rank_protocol.Counts | None:
         """Return a rank's counts, None if it is silent.
 
         ``free``: only through its agent.
@@ -103,7 +103,9 @@
         asked = await self._ask(endpoint, self._engine.counts, free=free)
         return None if asked is None else asked.answer
 
-    async def held(self, endpoint: directory.Endpoint) -> ranks.RankMap | None:
+    async def held(
+        self, endpoint: directory.Endpoint
+    ) -> rank_protocol.RankMap | None:
         """Return the experts that a rank uses, None if it is silent."""
         asked = await self._ask(endpoint, self._engine.held)
         return None if asked is None else asked.answer
@@ -132,12 +134,14 @@
         return None
 
     async def order(
-        self, endpoint: directory.Endpoint, order: ranks.Order
-    ) -> ranks.Answer:
+        self, endpoint: directory.Endpoint, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Give an order once; one without an answer may be taken."""
         address, direct = self._addresses(endpoint)[0], endpoint.listing
         by_agent = address.port == self._agent_port
-        if order.op is not ranks.Op.PREPARE or self._orders_over(address):
+        if order.op is not rank_protocol.Op.PREPARE or self._orders_over(
+            address
+        ):
             by_agent = False
         if not by_agent:
             return await self._engine.order(direct.host, direct.port, order)
@@ -147,8 +151,8 @@
                     address.host, address.port, order
                 )
         except TimeoutError:
-            answer = ranks.Answer.NONE
-        if answer is ranks.Answer.NONE:
+            answer = rank_protocol.Answer.NONE
+        if answer is rank_protocol.Answer.NONE:
             # The agent's silence or its engine's: that cannot be told.
             known = self._agents.setdefault(address.host, _Agent())
             known.orders_over_until = self._clock.now() + AGENT_PAUSE
--- a/src/aspenfold/_internal/leases/duties.py
+++ b/src/aspenfold/_internal/leases/duties.py
@@ -190,7 +190,7 @@
 
     Without a load all experts count as equally popular.
     """
-    shape = planner.Shape(
+    shape = planner.MapShape(
         ranks=group.ranks,
         experts=group.experts,
         slots_per_rank=group.slots_per_rank,
--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -18,7 +18,7 @@
     host: hosts.Host
     incarnation: str = ''
     load: frames.Load = dataclasses.field(default_factory=frames.Load)
-    reported: datetime.datetime | None = None
+    last_report_at: datetime.datetime | None = None
     in_flight: int = 0
     in_flight_at_report: int = 0
     failures: int = 0
@@ -49,13 +49,13 @@
         return max(seen + since, self.in_flight) / max(1, self.load.capacity)
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether one more call would start at once."""
         capacity = max(1, self.load.capacity)
         return self.pressure <= 1.0 - 1.0 / capacity
 
-    def take_load(self, load: frames.Load, now: datetime.datetime) -> None:
+    def update_load(self, load: frames.Load, now: datetime.datetime) -> None:
         """Take the agent's word on its load."""
         self.load = load
-        self.reported = now
+        self.last_report_at = now
         self.in_flight_at_report = self.in_flight
--- a/src/aspenfold/_internal/membership/view.py
+++ b/src/aspenfold/_internal/membership/view.py
@@ -12,29 +12,29 @@
 MIN_REPORT_INTERVAL = datetime.timedelta(milliseconds=500)
 """How often an entry asks an endpoint that it watches, at the most."""
 
-REPORT_BYTES = 400
+REPORT_COST_BYTES = 400
 """What a report and its answer cost on the wire, headers included."""
 
-REPORT_BYTES_PER_SECOND = 4000
+MAX_REPORT_BYTES_PER_SECOND = 4000
 """What an entry may spend on reports; more endpoints are asked less."""
 
-SILENT_INTERVALS = 4
+MAX_MISSED_REPORTS = 4
 """Report intervals of silence after which an endpoint gets no new work."""
 
-OWN_ZONE_SUBSET = 48
-OTHER_ZONES_SUBSET = 16
+OWN_ZONE_SUBSET_SIZE = 48
+OTHER_ZONES_SUBSET_SIZE = 16
 """Endpoints of one service that an entry watches and routes to."""
 
-EJECT_AFTER = 3
+MAX_CONSECUTIVE_FAILURES = 3
 """Failures in a row that eject an endpoint."""
 
-EJECT_TIME = datetime.timedelta(seconds=5)
+EJECTION_DURATION = datetime.timedelta(seconds=5)
 
-MAX_EJECTED_SHARE = 0.5
+MAX_EJECTED_FRACTION = 0.5
 """At most this share of a service's endpoints is ejected at once."""
 
 
-class View:
+class EndpointView:
     """An entry's view of the endpoints, by name."""
 
     def __init__(self, *, owner: str, zone: str) -> None:
@@ -47,7 +47,7 @@
         self._interval = MIN_REPORT_INTERVAL
         self.host_list_version = -1
 
-    def all(self) -> list[endpoint_module.Endpoint]:
+    def endpoints(self) -> list[endpoint_module.Endpoint]:
         """Return every endpoint, routable or not."""
         return list(self._endpoints.values())
 
@@ -55,7 +55,7 @@
         """Return the endpoint called ``name``."""
         return self._endpoints.get(name)
 
-    def listed(self, listing: hosts.HostList) -> None:
+    def update_hosts(self, listing: hosts.HostList) -> None:
         """Take a reading of the host list; older readings are ignored."""
         if listing.version <= self.host_list_version:
             return
@@ -87,11 +87,11 @@
         """Return how long a watched endpoint may go without a report."""
         return self._interval
 
-    def folded(self, members: dict[str, state_module.Member]) -> None:
+    def update_members(self, members: dict[str, state_module.Member]) -> None:
         """Take the members as the fleet stream has them."""
         self._members = members
 
-    def reported(
+    def update_report(
         self,
         name: str,
         incarnation: str,
@@ -105,40 +105,42 @@
         if known.incarnation != incarnation:
             known.incarnation = incarnation
             known.failures = 0
-        known.take_load(load, now)
+        known.update_load(load, now)
 
-    def heard(
+    def update_load(
         self, name: str, load: frames.Load, now: datetime.datetime
     ) -> None:
         """Take the load that rode on a frame."""
         known = self._endpoints.get(name)
         if known is not None:
-            known.take_load(load, now)
+            known.update_load(load, now)
 
-    def succeeded(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """An attempt there ended well."""
         known = self._endpoints.get(name)
         if known is not None:
             known.failures = 0
 
-    def failed(self, name: str, now: datetime.datetime) -> None:
+    def record_failure(self, name: str, now: datetime.datetime) -> None:
         """An attempt there was lost; eject after several, with a floor."""
         known = self._endpoints.get(name)
         if known is None:
             return
         known.failures += 1
-        if known.failures < EJECT_AFTER or not self._may_eject(known, now):
+        if known.failures < MAX_CONSECUTIVE_FAILURES or not self._may_eject(
+            known, now
+        ):
             return
-        known.ejected_until = now + EJECT_TIME
+        known.ejected_until = now + EJECTION_DURATION
         known.failures = 0
 
-    def distrust(self, name: str) -> None:
+    def invalidate_report(self, name: str) -> None:
         """The agent is gone or a new one: hear it before using it."""
         known = self._endpoints.get(name)
         if known is not None:
-            known.reported = None
+            known.last_report_at = None
 
-    def leaving(self, name: str) -> bool:
+    def is_leaving(self, name: str) -> bool:
         """Return whether any source says that the endpoint leaves."""
         known = self._endpoints.get(name)
         return known is None or self._leaving(known)
@@ -161,12 +163,12 @@
         self, service: str, now: datetime.datetime
     ) -> list[endpoint_module.Endpoint]:
         """Return the endpoints of ``service`` that may get new work."""
-        oldest = now - self._interval * SILENT_INTERVALS
+        oldest = now - self._interval * MAX_MISSED_REPORTS
         return [
             known
             for known in self._watched.get(service, ())
-            if known.reported is not None
-            and known.reported >= oldest
+            if known.last_report_at is not None
+            and known.last_report_at >= oldest
             and (known.ejected_until is None or known.ejected_until <= now)
             and not self._leaving(known)
         ]
@@ -186,7 +188,7 @@
             other.ejected_until is not None and other.ejected_until > now
             for other in peers
         )
-        return (out + 1) <= len(peers) * MAX_EJECTED_SHARE
+        return (out + 1) <= len(peers) * MAX_EJECTED_FRACTION
 
     def _choose_watched(self, listing: hosts.HostList) -> None:
         """Choose the subset anew; only a changed host list does so."""
@@ -211,14 +213,14 @@
                 self._groups[known.host.group].append(known)
         self._watched = {}
         for service in {*own, *other}:
-            names = subset.deal(
-                self._owner, entries, own[service], OWN_ZONE_SUBSET
-            ) + subset.deal(
-                self._owner, everyone, other[service], OTHER_ZONES_SUBSET
+            names = subset.assign(
+                self._owner, entries, own[service], OWN_ZONE_SUBSET_SIZE
+            ) + subset.assign(
+                self._owner, everyone, other[service], OTHER_ZONES_SUBSET_SIZE
             )
             self._watched[service] = [self._endpoints[n] for n in names]
         count = sum(len(some) for some in self._watched.values())
-        seconds = count * REPORT_BYTES / REPORT_BYTES_PER_SECOND
+        seconds = count * REPORT_COST_BYTES / MAX_REPORT_BYTES_PER_SECOND
         self._interval = max(
             MIN_REPORT_INTERVAL, datetime.timedelta(seconds=seconds)
         )
--- a/src/aspenfold/_internal/network/codec.py
+++ b/src/aspenfold/_internal/network/codec.py
@@ -147,7 +147,7 @@
             for r in message.runs
         ],
         prepared=message.prepared,
-        granted_to=message.granted_to,
+        granted_to=message.last_granted_step,
         step=message.step,
         placement=placement_to_bytes(message.placement),
     )
@@ -164,11 +164,11 @@
         incarnation=message.incarnation,
         version=message.version,
         runs=tuple(
-            messages.Run(first=r.first, last=r.last, version=r.version)
+            messages.StepRun(first=r.first, last=r.last, version=r.version)
             for r in message.runs
         ),
         prepared=tuple(message.prepared),
-        granted_to=message.granted_to,
+        last_granted_step=message.granted_to,
         step=message.step,
         placement=placement_from_bytes(message.placement),
     )
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -5,9 +5,9 @@
 import random
 import typing
 
-from aspenfold._internal.expertmaps import leader as leader_module
+from aspenfold._internal.expertmaps import leader_machine
 from aspenfold._internal.expertmaps import messages
-from aspenfold._internal.expertmaps import rank as rank_module
+from aspenfold._internal.expertmaps import rank_machine
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.network import agent_client
 from aspenfold._internal.network import codec
@@ -46,9 +46,9 @@
         self._endpoint = endpoint
         self._spawn = spawn
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._rank: rank_module.RankMachine | None = None
-        self._leader: leader_module.LeaderMachine | None = None
-        self._plan: tuple[int, leader_module.Placement] = (0, ())
+        self._rank: rank_machine.RankMachine | None = None
+        self._leader: leader_machine.LeaderMachine | None = None
+        self._plan: tuple[int, leader_machine.Placement] = (0, ())
         self.expert_load: list[float] = []
 
     @property
@@ -91,13 +91,13 @@
         placement = codec.placement_from_bytes(request.placement)
         self._plan = (request.map_version, placement)
         if self._leader is not None:
-            self._apply(self._leader.plan(*self._plan))
+            self._apply(self._leader.set_plan(*self._plan))
 
     async def _begin(self) -> None:
         state = await self._endpoint.state()
         if state is None:
             return
-        self._rank = rank_module.RankMachine(
+        self._rank = rank_machine.RankMachine(
             group=self._group,
             rank=self._number,
             incarnation=self._incarnation,
@@ -111,22 +111,22 @@
         version, placement = self._plan
         if not version:
             return
-        self._leader = leader_module.LeaderMachine(
+        self._leader = leader_machine.LeaderMachine(
             group=self._group, ranks=len(placement), rng=self._rng
         )
-        self._leader.plan(version, placement)
+        self._leader.set_plan(version, placement)
 
-    async def _follow_engine(self, rank: rank_module.RankMachine) -> None:
+    async def _follow_engine(self, rank: rank_machine.RankMachine) -> None:
         self._ensure_leader()
         state = await self._endpoint.state()
         if state is None:
             return
         self.expert_load = state.get('expert_load', [])
         runs = [
-            messages.Run(first=first, last=last, version=version)
+            messages.StepRun(first=first, last=last, version=version)
             for first, last, version in state['runs']
         ]
-        self._apply(rank.engine_state(state['step'], runs))
+        self._apply(rank.on_engine_state(state['step'], runs))
 
     def _apply(self, actions: list[messages.Action]) -> None:
         for action in actions:
@@ -157,17 +157,17 @@
                 order=type(action).__name__,
                 fencing=action.fencing,
             )
-            self._apply(rank.order_failed(action))
+            self._apply(rank.on_order_failed(action))
             return
         match action:
-            case messages.OrderReset(fencing=fencing):
-                result = rank.engine_reset(
-                    fencing, answer['granted_to'], answer['step']
+            case messages.OrderReset(fencing=token):
+                result = rank.on_engine_reset(
+                    token, answer['granted_to'], answer['step']
                 )
             case messages.OrderPrepare(version=version):
-                result = rank.engine_prepared(version)
-            case messages.OrderGrant(run=run, fencing=fencing):
-                result = rank.engine_granted(run, fencing)
+                result = rank.on_engine_prepared(version)
+            case messages.OrderGrant(run=run, fencing=token):
+                result = rank.on_engine_granted(run, token)
         self._apply(result)
 
 
--- a/src/aspenfold/_internal/processes/status.py
+++ b/src/aspenfold/_internal/processes/status.py
@@ -48,7 +48,7 @@
         'endpoints': [
             _endpoint(entry, known, now)
             for known in sorted(
-                entry.kernel.view.all(), key=lambda known: known.name
+                entry.kernel.view.endpoints(), key=lambda known: known.name
             )
         ],
     }
@@ -58,14 +58,14 @@
     entry: Entry, known: endpoint_module.Endpoint, now: datetime.datetime
 ) -> dict[str, typing.Any]:
     age = None
-    if known.reported is not None:
-        age = round((now - known.reported).total_seconds(), 3)
+    if known.last_report_at is not None:
+        age = round((now - known.last_report_at).total_seconds(), 3)
     return {
         'name': known.name,
         'service': known.host.service,
         'availability_zone': known.zone,
         'incarnation': known.incarnation,
-        'leaving': entry.kernel.view.leaving(known.name),
+        'leaving': entry.kernel.view.is_leaving(known.name),
         'pressure': round(known.pressure, 3),
         'in_flight_here': known.in_flight,
         'reported_seconds_ago': age,
@@ -112,7 +112,7 @@
         'policies': _policies(entry, service),
         'endpoints': [
             _candidate(entry, known, known.name in routable)
-            for known in entry.kernel.view.all()
+            for known in entry.kernel.view.endpoints()
             if known.host.service == service
         ],
     }
@@ -129,9 +129,9 @@
 ) -> dict[str, typing.Any]:
     if routable:
         reason = 'takes work'
-    elif entry.kernel.view.leaving(known.name):
+    elif entry.kernel.view.is_leaving(known.name):
         reason = 'leaving'
-    elif known.reported is None:
+    elif known.last_report_at is None:
         reason = 'never reported to this entry'
     else:
         reason = 'silent or ejected'
--- a/src/aspenfold/_internal/processes/watcher.py
+++ b/src/aspenfold/_internal/processes/watcher.py
@@ -67,11 +67,11 @@
             return True
         if now < asked + view_module.MIN_REPORT_INTERVAL:
             return False
-        if view.leaving(known.name) and not known.load.draining:
+        if view.is_leaving(known.name) and not known.load.draining:
             return True
         if self._newer_map(known) is not None:
             return True
-        heard = known.reported
+        heard = known.last_report_at
         return heard is None or now >= max(heard, asked) + interval
 
     async def _ask(self, known: endpoint_module.Endpoint) -> None:
@@ -93,7 +93,7 @@
                 old=known.incarnation,
                 new=reply.incarnation,
             )
-        self._entry.kernel.view.reported(
+        self._entry.kernel.view.update_report(
             known.name,
             reply.incarnation,
             codec.load_from_pb(reply.load),
--- a/src/aspenfold/_internal/retries/budget.py
+++ b/src/aspenfold/_internal/retries/budget.py
@@ -6,33 +6,35 @@
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.retries import policy
 
-SHARE = 0.08
+RETRIES_PER_REQUEST = 0.08
 """Retries earned by each first attempt."""
 
-RESERVE = 10.0
+MAX_SAVED_RETRIES = 10.0
 """Retries that may be saved up, so that light traffic can retry too."""
 
 MAX_ATTEMPTS = 4
 
-BASE_WAIT = datetime.timedelta(milliseconds=25)
+BASE_DELAY = datetime.timedelta(milliseconds=25)
 
 
 @registry.register(policy.KIND, 'budget')
-class Budget:
+class RetryBudget:
     """A token bucket filled by first attempts, emptied by retries."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
-        self._tokens = RESERVE
+        self._tokens = MAX_SAVED_RETRIES
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Earn a share of a retry."""
-        self._tokens = min(RESERVE, self._tokens + SHARE)
+        self._tokens = min(
+            MAX_SAVED_RETRIES, self._tokens + RETRIES_PER_REQUEST
+        )
 
-    def retry(self, attempt: int) -> datetime.timedelta | None:
+    def retry_delay(self, attempt: int) -> datetime.timedelta | None:
         """Spend a retry if there is one; full jitter on the wait."""
         if attempt > MAX_ATTEMPTS or self._tokens < 1:
             return None
         self._tokens -= 1
-        ceiling = BASE_WAIT * 2 ** (attempt - 1)
+        ceiling = BASE_DELAY * 2 ** (attempt - 1)
         return ceiling * self._rng.random()
--- a/src/aspenfold/_internal/retries/unbounded.py
+++ b/src/aspenfold/_internal/retries/naive.py
@@ -10,16 +10,16 @@
 
 
 @registry.register(policy.KIND, 'naive')
-class Naive:
+class NaiveRetries:
     """Retries without a budget."""
 
     def __init__(self, *, rng: random.Random) -> None:
         pass
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Nothing is counted."""
 
-    def retry(self, attempt: int) -> datetime.timedelta | None:
+    def retry_delay(self, attempt: int) -> datetime.timedelta | None:
         """Return no wait until the attempts are used up."""
         if attempt > MAX_ATTEMPTS:
             return None
--- a/src/aspenfold/_internal/retries/policy.py
+++ b/src/aspenfold/_internal/retries/policy.py
@@ -12,8 +12,8 @@
 
     def __init__(self, *, rng: random.Random) -> None: ...
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Count a first attempt."""
 
-    def retry(self, attempt: int) -> datetime.timedelta | None:
+    def retry_delay(self, attempt: int) -> datetime.timedelta | None:
         """Return the wait before attempt ``attempt``, None for no retry."""
--- a/src/aspenfold/_internal/retries/shared.py
+++ b/src/aspenfold/_internal/retries/shared_budget.py
@@ -7,17 +7,17 @@
 
 import dataclasses
 
-ASSUMED_ENTRIES = 40
+ASSUMED_GATEWAYS = 40
 """Entries among which the fixed part is dealt.  The largest deployment
 known has 34 with its spares; a restart begins with an empty bucket."""
 
-RATIO_USED = 0.8
+USED_RATIO_FRACTION = 0.8
 """Part of the allowed ratio that is used: requests of the window before
 count too, and load may fall within a window."""
 
 MIN_BURST = 1.0
 
-FIRST = 1.0
+INITIAL_TOKENS = 1.0
 """Attempts that a new process may make before any request has filled
 its bucket.  One, since many processes may start in one window."""
 
@@ -32,21 +32,21 @@
 
     ratio: float
     slack: float
-    _tokens: float = FIRST
+    _tokens: float = INITIAL_TOKENS
 
     @property
     def burst(self) -> float:
         """Most tokens that may be saved up."""
-        return max(MIN_BURST, self.slack / ASSUMED_ENTRIES)
+        return max(MIN_BURST, self.slack / ASSUMED_GATEWAYS)
 
     @property
-    def left(self) -> float:
+    def available(self) -> float:
         """Attempts that may be made now."""
         return self._tokens
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Count a request of a caller."""
-        earned = self.ratio * RATIO_USED
+        earned = self.ratio * USED_RATIO_FRACTION
         self._tokens = min(self.burst, self._tokens + earned)
 
     def take(self) -> bool:
--- a/src/aspenfold/_internal/routing/policy.py
+++ b/src/aspenfold/_internal/routing/policy.py
@@ -24,7 +24,7 @@
         """Work there over capacity; 1.0 is full."""
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether one more request would start at once."""
 
 
--- a/src/aspenfold/_internal/routing/round_robin.py
+++ b/src/aspenfold/_internal/routing/round_robin.py
@@ -13,7 +13,7 @@
     """Chooses the endpoints one after the other."""
 
     def __init__(self, *, zone: str, rng: random.Random) -> None:
-        self._turn = itertools.count(rng.randrange(1 << 16))
+        self._counter = itertools.count(rng.randrange(1 << 16))
 
     def choose(
         self,
@@ -22,4 +22,4 @@
         urgent: bool,
     ) -> policy.C:
         """Return the next candidate in turn."""
-        return candidates[next(self._turn) % len(candidates)]
+        return candidates[next(self._counter) % len(candidates)]
--- a/src/aspenfold/_internal/routing/subset.py
+++ b/src/aspenfold/_internal/routing/subset.py
@@ -11,7 +11,7 @@
     return xxhash.xxh3_64_intdigest(f'{owner}\0{name}'.encode())
 
 
-def pick(owner: str, names: abc.Iterable[str], size: int) -> list[str]:
+def select(owner: str, names: abc.Iterable[str], size: int) -> list[str]:
     """Return the ``size`` names that score highest for ``owner``.
 
     A name that comes or goes changes at most one place in the subset.
@@ -19,7 +19,7 @@
     return heapq.nlargest(size, names, key=lambda name: score(owner, name))
 
 
-def deal(
+def assign(
     owner: str,
     owners: abc.Iterable[str],
     names: abc.Iterable[str],
@@ -30,7 +30,7 @@
     Both sides are put in hash order on one ring of names; each owner
     begins at its own evenly spaced place and takes what follows.  Every
     name is taken once ``size`` times owners exceeds the names, which
-    independent choices (:func:`pick`) do not achieve.
+    independent choices (:func:`select`) do not achieve.
     """
     ring = sorted(names, key=lambda name: score('', name))
     if len(ring) <= size:
--- a/src/aspenfold/_internal/routing/two_choices.py
+++ b/src/aspenfold/_internal/routing/two_choices.py
@@ -10,14 +10,14 @@
 SPILL_PRESSURE = 0.8
 """Mean pressure of the own zone above which other zones take a share."""
 
-URGENT_CHOICES = 8
+URGENT_SAMPLE_SIZE = 8
 """Choices for an interactive call, which must find a free place; more
 would send all entries to the one endpoint that looked idle last."""
 
-AFFINITY_BOUND = 1.25
+MAX_AFFINITY_RATIO = 1.25
 """The prefix's home is used up to this multiple of the mean pressure."""
 
-AFFINITY_SLACK = 0.15
+AFFINITY_MARGIN = 0.15
 """Added to the bound, so that near-idle endpoints keep their prefixes."""
 
 
@@ -43,11 +43,11 @@
                 return home
         if not urgent:
             return self._least_loaded(pool, 2)
-        chosen = self._least_loaded(pool, URGENT_CHOICES)
-        if chosen.has_room:
+        chosen = self._least_loaded(pool, URGENT_SAMPLE_SIZE)
+        if chosen.has_free_slot:
             return chosen
         # A millisecond to another zone is less than a wait here.
-        return self._least_loaded(candidates, URGENT_CHOICES)
+        return self._least_loaded(candidates, URGENT_SAMPLE_SIZE)
 
     def _pool(
         self, candidates: abc.Sequence[policy.C]
@@ -66,7 +66,9 @@
         return max(pool, key=lambda c: subset.score(prefix, c.name))
 
     def _bound(self, pool: abc.Sequence[policy.C]) -> float:
-        return policy.mean_pressure(pool) * AFFINITY_BOUND + AFFINITY_SLACK
+        return (
+            policy.mean_pressure(pool) * MAX_AFFINITY_RATIO + AFFINITY_MARGIN
+        )
 
     def _least_loaded(
         self, pool: abc.Sequence[policy.C], choices: int
--- a/src/aspenfold/_internal/routing/zone_first.py
+++ b/src/aspenfold/_internal/routing/zone_first.py
@@ -13,7 +13,7 @@
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.routing import policy
 
-SPILL_GAP = 0.25
+SPILL_PRESSURE_MARGIN = 0.25
 """Other zones take over where the own one's mean pressure is higher than
 the mean of all by this.  The mean, since what is known of single endpoints
 of other zones may be a second old: some always look idle."""
@@ -40,9 +40,9 @@
         near = self._least(own)
         fuller = (
             policy.mean_pressure(own)
-            > policy.mean_pressure(candidates) + SPILL_GAP
+            > policy.mean_pressure(candidates) + SPILL_PRESSURE_MARGIN
         )
-        if fuller or not near.has_room:
+        if fuller or not near.has_free_slot:
             return self._least(candidates)
         return near
 
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -5,7 +5,7 @@
 import orjson
 import pydantic
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.network import http1_client
 
@@ -28,17 +28,17 @@
 """What leaders ask of an engine; beside these an agent passes on orders."""
 
 OP_NAMES = {
-    ranks.Op.PREPARE: 'prepare',
-    ranks.Op.ARM: 'arm',
-    ranks.Op.DISARM: 'disarm',
-    ranks.Op.HOLD: 'hold',
-    ranks.Op.RELEASE: 'go',
+    rank_protocol.Op.PREPARE: 'prepare',
+    rank_protocol.Op.ARM: 'arm',
+    rank_protocol.Op.DISARM: 'disarm',
+    rank_protocol.Op.HOLD: 'hold',
+    rank_protocol.Op.RELEASE: 'go',
 }
 
 ANSWERS = {
-    200: ranks.Answer.ACCEPTED,
-    202: ranks.Answer.ACCEPTED,
-    412: ranks.Answer.FENCED,
+    200: rank_protocol.Answer.ACCEPTED,
+    202: rank_protocol.Answer.ACCEPTED,
+    412: rank_protocol.Answer.FENCED,
 }
 """What an order's status means; all others refuse it."""
 
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self._idle: dict[tuple[str, int], http1_client.Connection] = {}
 
-    async def report(self, host: str, port: int) -> ranks.Report:
+    async def report(self, host: str, port: int) -> rank_protocol.Report:
         """Return a rank's report, or raise ``ports.EngineSilent``."""
         body = await self._get(host, port, REPORT)
         try:
@@ -106,10 +106,10 @@
             raise ports.EngineSilent(f'not a report: {exc}') from exc
         armed = None
         if found.armed is not None:
-            armed = ranks.Armed(
+            armed = rank_protocol.Armed(
                 version=found.armed.version, step=found.armed.step
             )
-        return ranks.Report(
+        return rank_protocol.Report(
             group=found.group.name,
             epoch=found.group.epoch,
             rank=found.group.rank,
@@ -120,33 +120,35 @@
             prepared=found.prepared,
             armed=armed,
             held=found.held,
-            pace=max(MIN_PACE, found.pace),
+            slowdown=max(MIN_PACE, found.pace),
         )
 
-    async def counts(self, host: str, port: int) -> ranks.Counts:
+    async def counts(self, host: str, port: int) -> rank_protocol.Counts:
         """Return how often the rank's requests chose each expert."""
         body = await self._get(host, port, COUNTS)
         try:
             found = _Counts.model_validate_json(body)
         except pydantic.ValidationError as exc:
             raise ports.EngineSilent(f'not counts: {exc}') from exc
-        return ranks.Counts(epoch=found.epoch, counts=tuple(found.counts))
+        return rank_protocol.Counts(
+            epoch=found.epoch, counts=tuple(found.counts)
+        )
 
-    async def held(self, host: str, port: int) -> ranks.RankMap:
+    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that the rank uses."""
         body = await self._get(host, port, HELD)
         try:
             found = _Lists.model_validate_json(body).map
         except pydantic.ValidationError as exc:
             raise ports.EngineSilent(f'not a map: {exc}') from exc
-        return ranks.RankMap(
+        return rank_protocol.RankMap(
             version=found.version,
             experts=tuple(tuple(experts) for experts in found.experts),
         )
 
     async def order(
-        self, host: str, port: int, order: ranks.Order
-    ) -> ranks.Answer:
+        self, host: str, port: int, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Give an order; silence is one of its answers."""
         message: dict[str, object] = {
             'op': OP_NAMES[order.op],
@@ -164,8 +166,8 @@
                 host, port, ORDER, orjson.dumps(message)
             )
         except ports.EngineSilent:
-            return ranks.Answer.NONE
-        return ANSWERS.get(status, ranks.Answer.REFUSED)
+            return rank_protocol.Answer.NONE
+        return ANSWERS.get(status, rank_protocol.Answer.REFUSED)
 
     async def _get(self, host: str, port: int, path: bytes) -> bytes:
         status, body = await self.forward(host, port, path)
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -6,7 +6,7 @@
 
 from aspenfold_standins import platform_worker as workers
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import outage as outage_module
 from tests.lib import gateway_rig as rigs
 from tests.soak import group as group_module
@@ -24,7 +24,7 @@
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
         """Carry an order out, a release after a while."""
-        if group_module.OPS[message['op']] is ranks.Op.RELEASE:
+        if group_module.OPS[message['op']] is rank_protocol.Op.RELEASE:
             await asyncio.sleep(RELEASE_S)
         return await super().order(rank, message)
 
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -14,7 +14,7 @@
 import pytest
 
 from aspenfold._internal.commands import exits
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings as settings_module
 from aspenfold._internal.kernel import clock
@@ -83,9 +83,9 @@
             )
             assert status == 404
         assert (await ask(port, engine_module.ORDER))[0] == 404
-        order = ranks.Order(
+        order = rank_protocol.Order(
             rank=0,
-            op=ranks.Op.HOLD,
+            op=rank_protocol.Op.HOLD,
             epoch=1,
             token=9,
             version=0,
@@ -93,7 +93,7 @@
             new_map=(),
         )
         answer = await client.order(rigs.LOOPBACK, port, order)
-        assert answer is ranks.Answer.ACCEPTED
+        assert answer is rank_protocol.Answer.ACCEPTED
         assert group.world.ranks[0].held == order.step
         await one.finish()
         await rank.stop()
--- a/tests/lib/group_world.py
+++ b/tests/lib/group_world.py
@@ -8,9 +8,9 @@
 
 import dataclasses
 
-from aspenfold._internal.expertmaps import leader as leader_module
+from aspenfold._internal.expertmaps import leader_machine
 from aspenfold._internal.expertmaps import messages
-from aspenfold._internal.expertmaps import rank as rank_module
+from aspenfold._internal.expertmaps import rank_machine
 from aspenfold._internal.processes import group_member
 from aspenfold_standins import sim as sim_module
 
@@ -44,8 +44,8 @@
     fencing: int = 0
     step: int = -1
     entered: int = -1
-    granted_to: int = -1
-    runs: set[messages.Run] = dataclasses.field(default_factory=set)
+    last_granted_step: int = -1
+    runs: set[messages.StepRun] = dataclasses.field(default_factory=set)
     prepared: set[int] = dataclasses.field(default_factory=set)
 
     def take(self, action: group_member.EngineOrder) -> bool:
@@ -61,10 +61,10 @@
                 self.prepared.add(version)
             case messages.OrderGrant(run=run):
                 self.runs.add(run)
-                self.granted_to = max(self.granted_to, run.last)
+                self.last_granted_step = max(self.last_granted_step, run.last)
         return True
 
-    def next_step(self) -> messages.Run | None:
+    def next_step(self) -> messages.StepRun | None:
         """Return the run of the first granted step after the current."""
         later = [run for run in self.runs if run.last > self.step]
         return min(later, default=None)
@@ -78,16 +78,16 @@
         self.world = world
         self.rank = rank
         engine = world.engines[rank]
-        self.machine = rank_module.RankMachine(
+        self.machine = rank_machine.RankMachine(
             group=GROUP,
             rank=rank,
             incarnation=f'{rank}/{number}',
             prepared=engine.prepared,
             step=engine.step,
         )
-        self.leader: leader_module.LeaderMachine | None = None
+        self.leader: leader_machine.LeaderMachine | None = None
         if rank == 0:
-            self.leader = leader_module.LeaderMachine(
+            self.leader = leader_machine.LeaderMachine(
                 group=GROUP, ranks=world.ranks, rng=world.sim.rng
             )
         self.sim.every(20, lambda: self.do(self._tick))
@@ -113,10 +113,10 @@
     def _tick(self) -> None:
         engine = self.world.engines[self.rank]
         held = {run for run in engine.runs if run.last > engine.step}
-        self.apply(self.machine.engine_state(engine.step, held))
+        self.apply(self.machine.on_engine_state(engine.step, held))
         if self.leader is not None:
             version, placement = self.world.plan
-            self.apply(self.leader.plan(version, placement))
+            self.apply(self.leader.set_plan(version, placement))
             self.apply(self.leader.tick(self.sim.now))
 
     def _order(self, action: group_member.EngineOrder, ms: float) -> None:
@@ -138,19 +138,19 @@
         self.sim.after(self.world.network.delay() + ms, arrive)
 
     def _refused(self, action: group_member.EngineOrder) -> None:
-        self.apply(self.machine.order_failed(action))
+        self.apply(self.machine.on_order_failed(action))
 
     def _taken(self, action: group_member.EngineOrder) -> None:
         engine = self.world.engines[self.rank]
         match action:
-            case messages.OrderReset(fencing=fencing):
-                result = self.machine.engine_reset(
-                    fencing, engine.granted_to, engine.step
+            case messages.OrderReset(fencing=token):
+                result = self.machine.on_engine_reset(
+                    token, engine.last_granted_step, engine.step
                 )
             case messages.OrderPrepare(version=version):
-                result = self.machine.engine_prepared(version)
-            case messages.OrderGrant(run=run, fencing=fencing):
-                result = self.machine.engine_granted(run, fencing)
+                result = self.machine.on_engine_prepared(version)
+            case messages.OrderGrant(run=run, fencing=token):
+                result = self.machine.on_engine_granted(run, token)
         self.apply(result)
 
 
@@ -164,7 +164,7 @@
         self.network = sim_module.Network(sim=self.sim)
         self.ranks = ranks
         self.checks_fencing = checks_fencing
-        self.plan: tuple[int, leader_module.Placement] = (0, ())
+        self.plan: tuple[int, leader_machine.Placement] = (0, ())
         self.stalled: set[int] = set()
         self.deaf: set[int] = set()
         self.cut: set[int] = set()
@@ -197,7 +197,7 @@
         """Replace a rank's host: agent and engine state are gone."""
         self.agents[rank].kill()
         self.engines[rank] = self._new_engine()
-        if all(engine.granted_to < 0 for engine in self.engines):
+        if all(engine.last_granted_step < 0 for engine in self.engines):
             # Nobody is left who took part in a step: a new group.
             self.formation += 1
         self.agents[rank] = self._new_agent(rank)
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -18,9 +18,9 @@
 from aspenfold._internal.claims import fold as claim_fold
 from aspenfold._internal.delivery import assembler
 from aspenfold._internal import exceptions
-from aspenfold._internal.expertmaps import leader as leader_module
+from aspenfold._internal.expertmaps import leader_machine
 from aspenfold._internal.expertmaps import messages
-from aspenfold._internal.expertmaps import rank as rank_module
+from aspenfold._internal.expertmaps import rank_machine
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.membership import view
 
@@ -220,9 +220,11 @@
     """A new leader skips no steps."""
 
     def begin(self: typing.Any) -> None:
-        self.granted_to = max(m.granted_to for m in self._members.values())
+        self.last_granted_step = max(
+            m.last_granted_step for m in self._members.values()
+        )
 
-    patch.setattr(leader_module.LeaderMachine, '_begin_beyond', begin)
+    patch.setattr(leader_machine.LeaderMachine, '_skip_earlier_grants', begin)
 
 
 def promise_of_some(patch: Patch) -> None:
@@ -231,29 +233,31 @@
     def complete(self: typing.Any) -> bool:
         return len(self._members) >= self.ranks - 1
 
-    patch.setattr(leader_module.LeaderMachine, '_complete', property(complete))
+    patch.setattr(
+        leader_machine.LeaderMachine, '_all_promised', property(complete)
+    )
 
 
 def no_ballot_check(patch: Patch) -> None:
     """A rank heeds any leader, and its engine is not reset."""
-    right = rank_module.RankMachine.receive
+    right = rank_machine.RankMachine.receive
 
     def receive(self: typing.Any, message: messages.Message) -> typing.Any:
         if message.kind is not messages.Kind.RECRUIT:
             message = dataclasses.replace(
                 message,
-                ballot=self.promised,
+                ballot=self.promised_ballot,
                 incarnation=self.incarnation,
             )
         return right(self, message)
 
-    patch.setattr(rank_module.RankMachine, 'receive', receive)
-    patch.setattr(rank_module.RankMachine, '_disturbed', lambda *_: False)
+    patch.setattr(rank_machine.RankMachine, 'receive', receive)
+    patch.setattr(rank_machine.RankMachine, '_has_lost_sync', lambda *_: False)
 
 
 def grant_at_once(patch: Patch) -> None:
     """Each rank is granted the newest map that it has prepared."""
-    right = leader_module.LeaderMachine._send
+    right = leader_machine.LeaderMachine._send
 
     def send(
         self: typing.Any, kind: typing.Any, rank: int, **fields: typing.Any
@@ -266,12 +270,12 @@
             )
         return right(self, kind, rank, **fields)
 
-    patch.setattr(leader_module.LeaderMachine, '_send', send)
+    patch.setattr(leader_machine.LeaderMachine, '_send', send)
 
 
 def ignore_leaving(patch: Patch) -> None:
     """Neither entries nor agents heed that an endpoint leaves."""
-    patch.setattr(view.View, '_leaving', lambda self, known: False)
+    patch.setattr(view.EndpointView, '_leaving', lambda self, known: False)
     patch.setattr(agent_kernel.AgentKernel, 'leave', lambda self: None)
     patch.setattr(
         agent_kernel.AgentKernel, 'ordered', lambda self, order: None
--- a/tests/lib/rank_world.py
+++ b/tests/lib/rank_world.py
@@ -13,8 +13,8 @@
 import random
 import typing
 
-from aspenfold._internal.expertmaps import ranks
-from aspenfold._internal.expertmaps import switch
+from aspenfold._internal.expertmaps import map_switch
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.kernel import clock
 
 MS = datetime.timedelta(milliseconds=1)
@@ -36,11 +36,11 @@
     fence: int = 0
     highest: int = 0
     version: int = 0
-    map: ranks.Map = ()
+    map: rank_protocol.Map = ()
     prepared: int | None = None
     copied_at: datetime.datetime | None = None
-    new_map: ranks.Map = ()
-    armed: ranks.Armed | None = None
+    new_map: rank_protocol.Map = ()
+    armed: rank_protocol.Armed | None = None
     held: int | None = None
 
     def clear(self) -> None:
@@ -85,7 +85,7 @@
     def __init__(self, world: 'World', term: int) -> None:
         self.world = world
         self.token = term * TERM_TOKENS
-        self.switch: switch.Switch | None = None
+        self.switch: map_switch.MapSwitch | None = None
         self.paused_until = world.now
         self._asked_at = world.now
         self._inbox: list[typing.Callable[[], None]] = []
@@ -106,7 +106,7 @@
             self._find()
             return True
         self.perform(self.switch.tick(world.now))
-        if self.switch.state is switch.State.LOST:
+        if self.switch.state is map_switch.State.LOST:
             fenced = self.switch.fenced
             self.token = self.switch.token
             self.switch = None
@@ -126,26 +126,26 @@
             first_token=self.token,
         )
 
-    def _work(self, machine: switch.Switch) -> None:
+    def _work(self, machine: map_switch.MapSwitch) -> None:
         world = self.world
         if world.now - self._asked_at >= 300 * MS:
             self._asked_at = world.now
-            self.perform([switch.Ask(rank=switch.HOLDER)])
-        elif machine.ready and world.rng.random() < 0.1:
+            self.perform([map_switch.RequestReport(rank=map_switch.HOLD_RANK)])
+        elif machine.is_ready and world.rng.random() < 0.1:
             content = world.rng.randrange(1 << 30)
-            self.perform(machine.start((((content,),),), world.now))
+            self.perform(machine.start_round((((content,),),), world.now))
 
-    def perform(self, actions: list[switch.Action]) -> None:
+    def perform(self, actions: list[map_switch.Action]) -> None:
         """Send orders, ask for reports."""
         machine = self.switch
         assert machine is not None
         for action in actions:
-            if isinstance(action, switch.Ask):
+            if isinstance(action, map_switch.RequestReport):
                 self._ask(machine, action.rank)
             else:
                 self.world.send(self, machine, action)
 
-    def _ask(self, machine: switch.Switch, rank: int) -> None:
+    def _ask(self, machine: map_switch.MapSwitch, rank: int) -> None:
         world = self.world
         asked_at = world.now
         fresh = world.rng.random() < world.faults.fresh
@@ -156,21 +156,21 @@
                 return
             age = world.now - asked_at
             if not fresh:
-                age += ranks.REPORT_LAG
+                age += rank_protocol.MAX_REPORT_AGE
             told = dataclasses.replace(report, age=age)
-            self.perform(machine.reported(told, world.now))
+            self.perform(machine.on_report(told, world.now))
 
         self.world.after(5 * MS, lambda: self.post(arrive))
 
-    def answered(
+    def on_answer(
         self,
-        machine: switch.Switch,
-        order: ranks.Order,
-        answer: ranks.Answer,
+        machine: map_switch.MapSwitch,
+        order: rank_protocol.Order,
+        answer: rank_protocol.Answer,
     ) -> None:
         """Take an answer."""
         if self.switch is machine:
-            self.perform(machine.answered(order, answer, self.world.now))
+            self.perform(machine.on_answer(order, answer, self.world.now))
 
 
 class World:
@@ -182,7 +182,7 @@
         seed: int,
         size: int = 4,
         faults: Faults | None = None,
-        switch_class: type[switch.Switch] = switch.Switch,
+        switch_class: type[map_switch.MapSwitch] = map_switch.MapSwitch,
     ) -> None:
         self.rng = random.Random(seed)
         self.now = clock.EPOCH
@@ -288,7 +288,7 @@
 
     def report(
         self, number: int, *, fresh: bool = False
-    ) -> ranks.Report | None:
+    ) -> rank_protocol.Report | None:
         """Return a rank's state as of a while ago, or as it is."""
         if not self._past:
             return None
@@ -298,7 +298,7 @@
             all_ranks = self.ranks
         rank = all_ranks[number]
         copied = rank.copied_at is not None and rank.copied_at <= self.now
-        return ranks.Report(
+        return rank_protocol.Report(
             group='g',
             epoch=epoch,
             rank=number,
@@ -312,7 +312,10 @@
         )
 
     def send(
-        self, leader: Leader, machine: switch.Switch, order: ranks.Order
+        self,
+        leader: Leader,
+        machine: map_switch.MapSwitch,
+        order: rank_protocol.Order,
     ) -> None:
         """Carry an order to its rank, or lose it, or its answer."""
         faults = self.faults
@@ -329,54 +332,54 @@
         def arrive() -> None:
             answer = self.execute(order)
             if not silent:
-                leader.post(lambda: leader.answered(machine, order, answer))
+                leader.post(lambda: leader.on_answer(machine, order, answer))
 
         self.after(wait, arrive)
 
-    def execute(self, order: ranks.Order) -> ranks.Answer:
+    def execute(self, order: rank_protocol.Order) -> rank_protocol.Answer:
         """Let a rank take or refuse an order."""
         rank = self.ranks[order.rank]
         if order.token < rank.fence:
-            return ranks.Answer.FENCED
+            return rank_protocol.Answer.FENCED
         if not self.open or order.epoch != self.epoch:
-            return ranks.Answer.REFUSED
+            return rank_protocol.Answer.REFUSED
         if not self._fits(rank, order):
-            return ranks.Answer.REFUSED
+            return rank_protocol.Answer.REFUSED
         rank.fence = order.token
-        return ranks.Answer.ACCEPTED
+        return rank_protocol.Answer.ACCEPTED
 
-    def _fits(self, rank: Rank, order: ranks.Order) -> bool:
+    def _fits(self, rank: Rank, order: rank_protocol.Order) -> bool:
         match order.op:
-            case ranks.Op.PREPARE:
+            case rank_protocol.Op.PREPARE:
                 return self._prepare(rank, order)
-            case ranks.Op.ARM:
+            case rank_protocol.Op.ARM:
                 if rank.prepared != order.version:
                     return False
                 if rank.copied_at is None or rank.copied_at > self.now:
                     return False
                 if order.step <= self.step:
                     return False
-                rank.armed = ranks.Armed(
+                rank.armed = rank_protocol.Armed(
                     version=order.version, step=order.step
                 )
-            case ranks.Op.DISARM:
+            case rank_protocol.Op.DISARM:
                 if rank.version == order.version:
                     return False
                 armed = rank.armed
                 if armed is not None and armed.version == order.version:
                     rank.armed = None
-            case ranks.Op.HOLD:
+            case rank_protocol.Op.HOLD:
                 if rank.held is not None and rank.held != order.step:
                     return False
                 if order.step <= self.step:
                     return False
                 rank.held = order.step
-            case ranks.Op.RELEASE:
+            case rank_protocol.Op.RELEASE:
                 if rank.held == order.step:
                     rank.held = None
         return True
 
-    def _prepare(self, rank: Rank, order: ranks.Order) -> bool:
+    def _prepare(self, rank: Rank, order: rank_protocol.Order) -> bool:
         if rank.prepared == order.version:
             return True
         if rank.armed is not None or order.version <= rank.highest:
--- a/tests/lib/world.py
+++ b/tests/lib/world.py
@@ -404,7 +404,7 @@
         self.apply(self.kernel.tick(self.sim.now))
 
     def _ask_reports(self) -> None:
-        for known in self.kernel.view.all():
+        for known in self.kernel.view.endpoints():
             agent = self.world.agents.get(known.name)
             if agent is None or not agent.alive:
                 continue
@@ -424,7 +424,7 @@
             self.sim.after(
                 self.world.network.delay(),
                 lambda: self.do(
-                    lambda: self.kernel.view.reported(
+                    lambda: self.kernel.view.update_report(
                         agent.name,
                         agent.kernel.incarnation,
                         load,
--- a/tests/soak/group.py
+++ b/tests/soak/group.py
@@ -13,7 +13,7 @@
 from aspenfold_standins import http11
 from aspenfold_standins import platform_worker
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from tests.lib import rank_world
 
 EXPERTS = 8
@@ -23,17 +23,17 @@
 TICK_S = rank_world.STEP.total_seconds()
 
 OPS = {
-    'prepare': ranks.Op.PREPARE,
-    'arm': ranks.Op.ARM,
-    'disarm': ranks.Op.DISARM,
-    'hold': ranks.Op.HOLD,
-    'go': ranks.Op.RELEASE,
+    'prepare': rank_protocol.Op.PREPARE,
+    'arm': rank_protocol.Op.ARM,
+    'disarm': rank_protocol.Op.DISARM,
+    'hold': rank_protocol.Op.HOLD,
+    'go': rank_protocol.Op.RELEASE,
 }
 
 STATUS = {
-    ranks.Answer.ACCEPTED: 202,
-    ranks.Answer.REFUSED: 409,
-    ranks.Answer.FENCED: 412,
+    rank_protocol.Answer.ACCEPTED: 202,
+    rank_protocol.Answer.REFUSED: 409,
+    rank_protocol.Answer.FENCED: 412,
 }
 
 NO_LEADERS = dataclasses.replace(rank_world.QUIET, leader_start=0, idle=0.3)
@@ -133,7 +133,7 @@
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
         """Carry an order out; None: no answer is to be given."""
-        order = ranks.Order(
+        order = rank_protocol.Order(
             rank=rank,
             op=OPS[message['op']],
             epoch=message['epoch'],
@@ -153,7 +153,7 @@
             return None
         return STATUS[answer]
 
-    async def _carry_out_late(self, order: ranks.Order) -> None:
+    async def _carry_out_late(self, order: rank_protocol.Order) -> None:
         await asyncio.sleep(self._rng.uniform(*LATE_S))
         self.world.execute(order)
 
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -23,7 +23,7 @@
     for member in leader._members.values():
         assert len(member.runs) < FEW
     for agent in world.agents:
-        assert len(agent.machine._ordered) < FEW
+        assert len(agent.machine._ordered_runs) < FEW
 
 
 def test_an_agent_forgets_attempts_past_their_time() -> None:
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from aspenfold._internal.expertmaps import demand
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import demand_estimator
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.kernel import clock
 
 SECOND = datetime.timedelta(seconds=1)
@@ -22,7 +22,9 @@
     """One rank's counts, which grow with what is read there."""
 
     def __init__(self, *, sets: int, experts: int) -> None:
-        self.found = demand.Demand(sets=sets, experts=experts)
+        self.found = demand_estimator.DemandEstimator(
+            sets=sets, experts=experts
+        )
         self.now = clock.EPOCH
         self.counts = [0] * (sets * experts)
         self.epoch = 1
@@ -34,9 +36,11 @@
 
     def sample(self) -> None:
         """Let the leader read the counts."""
-        counts = ranks.Counts(epoch=self.epoch, counts=tuple(self.counts))
+        counts = rank_protocol.Counts(
+            epoch=self.epoch, counts=tuple(self.counts)
+        )
         self.found.sample(0, counts)
-        self.found.settle(self.now)
+        self.found.process_samples(self.now)
 
     def loads(self) -> list[list[float]]:
         """Return what is known of demand."""
@@ -125,13 +129,13 @@
             group.now += 36 * MS
             read_prompt(group, before, rng)
             group.sample()
-        assert group.found.shifts == 0, seed
+        assert group.found.shift_count == 0, seed
         assert error(group.loads(), before) < 0.05, seed
         for _ in range(3):
             group.now += 36 * MS
             read_prompt(group, after, rng)
             group.sample()
-        assert group.found.shifts >= 1, seed
+        assert group.found.shift_count >= 1, seed
         assert error(group.loads(), after) < 0.06, seed
 
 
@@ -144,4 +148,4 @@
         group.now += (2000 if turn % 50 == 0 else 36) * MS
         read_prompt(group, common, rng)
         group.sample()
-    assert group.found.shifts == 0
+    assert group.found.shift_count == 0
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -24,7 +24,7 @@
 from aspenfold._internal.leases import contest
 from aspenfold._internal.models import fleet
 from aspenfold._internal.observability import output
-from aspenfold._internal.retries import shared
+from aspenfold._internal.retries import shared_budget
 from aspenfold._internal.routing import zone_first
 from aspenfold.platform import config
 from aspenfold.platform import members
@@ -197,19 +197,20 @@
     st.integers(1, 40),
 )
 def test_retries_of_all_entries_stay_under_the_bound(
-    steps: list[str], entries: int
+    iter_drafts: list[str], entries: int
 ) -> None:
     """In any span of their common history."""
     slack = 90.0
     budgets = [
-        shared.SharedBudget(ratio=0.2, slack=slack) for _ in range(entries)
+        shared_budget.SharedBudget(ratio=0.2, slack=slack)
+        for _ in range(entries)
     ]
     requests = 0
     retries = 0
-    for number, step in enumerate(steps):
+    for number, step in enumerate(iter_drafts):
         budget = budgets[number % entries]
         if step == 'request':
-            budget.request()
+            budget.record_request()
             requests += 1
         elif budget.take():
             retries += 1
@@ -461,11 +462,13 @@
 
 def test_a_slow_rank_gets_fewer_experts() -> None:
     """Its load counts by its pace."""
-    shape = planner.Shape(ranks=8, experts=24, slots_per_rank=4, spare=2)
+    shape = planner.MapShape(
+        ranks=8, experts=24, slots_per_rank=4, max_new_experts=2
+    )
     load = [1.0] * 24
     current = [[e for e in range(24) if e % 8 == r] for r in range(8)]
     paces = [3.0] + [1.0] * 7
-    draft = list(descent.steps(shape, load, current, PRICE, paces))
+    draft = list(descent.iter_drafts(shape, load, current, PRICE, paces))
     assert draft[-1].skew() < 2.0
     assert planner.rank_loads(draft[-1].placement, load)[0] < 2.0
 
@@ -556,7 +559,9 @@
 ) -> None:
     """Whatever the demand; and skew never grows."""
     rng = random.Random(seed)
-    shape = planner.Shape(ranks=8, experts=24, slots_per_rank=4, spare=spare)
+    shape = planner.MapShape(
+        ranks=8, experts=24, slots_per_rank=4, max_new_experts=spare
+    )
     load = [rng.paretovariate(1.0) for _ in range(24)]
     current = [[e for e in range(24) if e % 8 == r] for r in range(8)]
     plan = descent.Descent().plan(shape, load, current, PRICE)
@@ -570,7 +575,9 @@
 
 def test_one_change_relieves_the_skew_of_map_0() -> None:
     """At the shape of the users' groups, over several demands."""
-    shape = planner.Shape(ranks=16, experts=64, slots_per_rank=5, spare=2)
+    shape = planner.MapShape(
+        ranks=16, experts=64, slots_per_rank=5, max_new_experts=2
+    )
     current = [[e for e in range(64) if e % 16 == r] for r in range(16)]
     for seed in range(20):
         load = [1 / (i + 1) ** 1.1 for i in range(64)]
--- a/tests/unit/test_group_watch.py
+++ b/tests/unit/test_group_watch.py
@@ -5,7 +5,7 @@
 import datetime
 import random
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import group_watch
 from aspenfold._internal.gateway import outages
@@ -43,21 +43,21 @@
     """Tells each endpoint's report; counts how often it was asked."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, ranks.Report] = {}
+        self.reports: dict[str, rank_protocol.Report] = {}
         self.asked: list[str] = []
 
     async def report(
         self, endpoint: directory.Endpoint, *, free: bool = False
-    ) -> ranks.Report | None:
+    ) -> rank_protocol.Report | None:
         """Return a report, None if there is no agent."""
         assert free
         self.asked.append(endpoint.name)
         return self.reports.get(endpoint.name)
 
 
-def report(group: str, *, is_open: bool = True) -> ranks.Report:
+def report(group: str, *, is_open: bool = True) -> rank_protocol.Report:
     """Return a fresh report."""
-    return ranks.Report(
+    return rank_protocol.Report(
         group=group,
         epoch=1,
         rank=0,
@@ -134,7 +134,7 @@
     client.reports['e-0'] = report('g', is_open=False)
     watch_for(watch, 1)
     assert core.outages.of(SERVICE, 'g').lasts
-    old = dataclasses.replace(report('g'), age=ranks.REPORT_LAG)
+    old = dataclasses.replace(report('g'), age=rank_protocol.MAX_REPORT_AGE)
     client.reports['e-0'] = old
     watch_for(watch, 1)
     assert core.outages.of(SERVICE, 'g').lasts
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import count_reader
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import map_planner
@@ -19,9 +19,9 @@
 AGENT = 7321
 ENGINE = 8080
 
-ORDER = ranks.Order(
+ORDER = rank_protocol.Order(
     rank=0,
-    op=ranks.Op.PREPARE,
+    op=rank_protocol.Op.PREPARE,
     epoch=1,
     token=1,
     version=1,
@@ -37,7 +37,7 @@
     copy_time=datetime.timedelta(0),
 )
 
-REPORT = ranks.Report(
+REPORT = rank_protocol.Report(
     group='g',
     epoch=1,
     rank=0,
@@ -74,29 +74,29 @@
         if port not in self.up:
             raise ports.EngineSilent('nobody there')
 
-    async def counts(self, host: str, port: int) -> ranks.Counts:
+    async def counts(self, host: str, port: int) -> rank_protocol.Counts:
         """Return a rank's counts."""
         await self._call(port)
-        return ranks.Counts(epoch=1, counts=(1, 2))
+        return rank_protocol.Counts(epoch=1, counts=(1, 2))
 
-    async def report(self, host: str, port: int) -> ranks.Report:
+    async def report(self, host: str, port: int) -> rank_protocol.Report:
         """Return a report that says nothing of its age."""
         await self._call(port)
         return REPORT
 
-    async def held(self, host: str, port: int) -> ranks.RankMap:
+    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return no experts."""
         await self._call(port)
-        return ranks.RankMap(version=0, experts=())
+        return rank_protocol.RankMap(version=0, experts=())
 
     async def order(
-        self, host: str, port: int, order: ranks.Order
-    ) -> ranks.Answer:
+        self, host: str, port: int, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Take an order."""
         self.called.append(port)
         if port not in self.up:
-            return ranks.Answer.NONE
-        return ranks.Answer.ACCEPTED
+            return rank_protocol.Answer.NONE
+        return rank_protocol.Answer.ACCEPTED
 
 
 FROZEN_S = 5.0
@@ -106,8 +106,8 @@
     """An agent's host that stands still; the engine does not."""
 
     async def order(
-        self, host: str, port: int, order: ranks.Order
-    ) -> ranks.Answer:
+        self, host: str, port: int, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Take an order, the agent much later."""
         if port == AGENT:
             await asyncio.sleep(FROZEN_S)
@@ -174,15 +174,23 @@
 
 
 @pytest.mark.parametrize(
-    'op', [ranks.Op.HOLD, ranks.Op.ARM, ranks.Op.RELEASE, ranks.Op.DISARM]
+    'op',
+    [
+        rank_protocol.Op.HOLD,
+        rank_protocol.Op.ARM,
+        rank_protocol.Op.RELEASE,
+        rank_protocol.Op.DISARM,
+    ],
 )
-def test_orders_of_a_held_group_go_to_the_engine_itself(op: ranks.Op) -> None:
+def test_orders_of_a_held_group_go_to_the_engine_itself(
+    op: rank_protocol.Op,
+) -> None:
     """A frozen agent must not keep a held group waiting, not at all."""
     engine = FrozenAgent(AGENT, ENGINE)
     found, _ = client(engine)
     order = dataclasses.replace(ORDER, op=op, step=3)
     answer = asyncio.run(found.order(endpoint('1'), order))
-    assert answer is ranks.Answer.ACCEPTED
+    assert answer is rank_protocol.Answer.ACCEPTED
     assert engine.called == [ENGINE]
 
 
@@ -191,7 +199,7 @@
     engine = FakeEngine(AGENT, ENGINE)
     found, _ = client(engine)
     answer = asyncio.run(found.order(endpoint('1'), ORDER))
-    assert answer is ranks.Answer.ACCEPTED
+    assert answer is rank_protocol.Answer.ACCEPTED
     assert engine.called == [AGENT]
     found, _ = client(engine, agent_port=0)
     asyncio.run(found.order(endpoint('1'), ORDER))
@@ -203,11 +211,11 @@
     engine = FakeEngine(ENGINE)
     found, clock = client(engine)
     answer = asyncio.run(found.order(endpoint('1'), ORDER))
-    assert answer is ranks.Answer.NONE
+    assert answer is rank_protocol.Answer.NONE
     assert engine.called == [AGENT]
     engine.up.add(AGENT)
     answer = asyncio.run(found.order(endpoint('1'), ORDER))
-    assert answer is ranks.Answer.ACCEPTED
+    assert answer is rank_protocol.Answer.ACCEPTED
     assert asyncio.run(found.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT, ENGINE, AGENT]
     clock.time += rank_client.AGENT_PAUSE
@@ -224,11 +232,11 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         answer = await found.order(endpoint('1'), ORDER)
-        assert answer is ranks.Answer.NONE
+        assert answer is rank_protocol.Answer.NONE
         limit = rank_client.AGENT_ORDER_LIMIT.total_seconds()
         assert limit <= loop.time() - began < FROZEN_S
         answer = await found.order(endpoint('1'), ORDER)
-        assert answer is ranks.Answer.ACCEPTED
+        assert answer is rank_protocol.Answer.ACCEPTED
 
     asyncio.run(run())
 
@@ -243,7 +251,7 @@
     found, _ = client(engine, agent_port=0)
     report = asyncio.run(found.report(endpoint('1')))
     assert report is not None
-    assert report.age == ranks.REPORT_LAG
+    assert report.age == rank_protocol.MAX_REPORT_AGE
 
 
 def test_ranks_of_the_own_zone_are_read_and_few_where_it_costs() -> None:
--- a/tests/unit/test_staged_plans.py
+++ b/tests/unit/test_staged_plans.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from aspenfold._internal.expertmaps import planner
-from aspenfold._internal.expertmaps import staged
+from aspenfold._internal.expertmaps import stage_planner
 
 RANKS, EXPERTS, PLACES, SETS, SPARE = 12, 96, 11, 3, 4
-SHAPE = planner.Shape(
-    ranks=RANKS, experts=EXPERTS, slots_per_rank=PLACES, spare=SPARE
+SHAPE = planner.MapShape(
+    ranks=RANKS, experts=EXPERTS, slots_per_rank=PLACES, max_new_experts=SPARE
 )
 
 
@@ -38,21 +38,21 @@
 
 def stage(
     current: list[planner.Placement], loads: list[list[float]], copies: int
-) -> staged.Stage:
+) -> stage_planner.StagePlanner:
     """Plan one stage."""
-    made = staged.Stage(
+    made = stage_planner.StagePlanner(
         shape=SHAPE,
         loads=loads,
         current=current,
-        paces=[1.0] * RANKS,
-        copies=copies,
+        slowdowns=[1.0] * RANKS,
+        max_copies_per_rank=copies,
     )
-    for _ in made.steps():
+    for _ in made.iter_moves():
         pass
     return made
 
 
-def placements(made: staged.Stage) -> list[planner.Placement]:
+def placements(made: stage_planner.StagePlanner) -> list[planner.Placement]:
     """Return the maps of a stage."""
     return [draft.placement for draft in made.drafts]
 
--- a/tests/unit/test_switch_histories.py
+++ b/tests/unit/test_switch_histories.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from aspenfold._internal.expertmaps import ranks
-from aspenfold._internal.expertmaps import switch
+from aspenfold._internal.expertmaps import map_switch
+from aspenfold._internal.expertmaps import rank_protocol
 from tests.lib import rank_world
 
 pytestmark = pytest.mark.explores
@@ -16,7 +16,7 @@
 
 
 def play(
-    seed: int, switch_class: type[switch.Switch] = switch.Switch
+    seed: int, switch_class: type[map_switch.MapSwitch] = map_switch.MapSwitch
 ) -> rank_world.World:
     """Run a world with faults."""
     world = rank_world.World(seed=seed, switch_class=switch_class)
@@ -37,45 +37,45 @@
         assert world.switched > switched, seed
 
 
-class WithoutHold(switch.Switch):
+class WithoutHold(map_switch.MapSwitch):
     """Arms ranks for a pass that nothing holds."""
 
-    def _hold(self, now: datetime.datetime) -> list[switch.Action]:
-        self._enter(switch.State.HOLD, now)
+    def _hold(self, now: datetime.datetime) -> list[map_switch.Action]:
+        self._enter(map_switch.State.HOLD, now)
         return self._arm(now)
 
 
-class EarlyRelease(switch.Switch):
+class EarlyRelease(map_switch.MapSwitch):
     """Releases the pass as soon as one rank is armed."""
 
-    def answered(
+    def on_answer(
         self,
-        order: ranks.Order,
-        answer: ranks.Answer,
+        order: rank_protocol.Order,
+        answer: rank_protocol.Answer,
         now: datetime.datetime,
-    ) -> list[switch.Action]:
+    ) -> list[map_switch.Action]:
         """Take an answer."""
-        accepted = answer is ranks.Answer.ACCEPTED
-        if self.state is switch.State.ARM and accepted:
+        accepted = answer is rank_protocol.Answer.ACCEPTED
+        if self.state is map_switch.State.ARM and accepted:
             return self._all_accepted(now)
-        return super().answered(order, answer, now)
+        return super().on_answer(order, answer, now)
 
 
-class WithoutFreeze(switch.Switch):
+class WithoutFreeze(map_switch.MapSwitch):
     """Undoes a round while its orders may still be carried out."""
 
-    def recover(self, now: datetime.datetime) -> list[switch.Action]:
+    def roll_back(self, now: datetime.datetime) -> list[map_switch.Action]:
         """Undo a round."""
-        self._enter(switch.State.LOOK, now)
+        self._enter(map_switch.State.AWAIT_REPORTS, now)
         self._settled_at = now
         return []
 
 
-class WithoutPatience(switch.Switch):
+class WithoutPatience(map_switch.MapSwitch):
     """Trusts reports that are older than the freeze."""
 
     def _shows_answers(
-        self, report: ranks.Report, now: datetime.datetime
+        self, report: rank_protocol.Report, now: datetime.datetime
     ) -> bool:
         return True
 
@@ -83,10 +83,10 @@
         return False
 
 
-class ForgottenArms(switch.Switch):
+class ForgottenArms(map_switch.MapSwitch):
     """Releases a held pass without disarming."""
 
-    def _looked(self, now: datetime.datetime) -> list[switch.Action]:
+    def _looked(self, now: datetime.datetime) -> list[map_switch.Action]:
         for rank, report in list(self._fresh.items()):
             self._fresh[rank] = dataclasses.replace(report, armed=None)
         return super()._looked(now)
@@ -102,7 +102,7 @@
         ForgottenArms,
     ],
 )
-def test_each_guard_is_needed(guardless: type[switch.Switch]) -> None:
+def test_each_guard_is_needed(guardless: type[map_switch.MapSwitch]) -> None:
     """Without it some history begins a pass with two maps."""
     with pytest.raises(rank_world.Violation):
         for seed in range(300):
