--- a/src/aspenfold/_internal/expertmaps/demand_estimator.py
+++ b/src/aspenfold/_internal/expertmaps/demand_estimator.py
@@ -51,7 +51,7 @@
         self._since: datetime.datetime | None = None
         self.shift_count = 0
 
-    def sample(self, rank: int, counts: rank_protocol.Counts) -> None:
+    def add_counts(self, rank: int, counts: rank_protocol.Counts) -> None:
         """Take a rank's counts; later ones count from the last sample.
 
         The first of a new epoch only sets a mark.
@@ -72,7 +72,7 @@
             )
         ]
 
-    def process_samples(self, now: datetime.datetime) -> None:
+    def update_estimate(self, now: datetime.datetime) -> None:
         """Weigh what was sampled, once it is enough to tell a shift."""
         if sum(self._newest) < MIN_CHOICES_PER_EXPERT * len(self._newest):
             return
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -20,7 +20,7 @@
 from aspenfold._internal.network import auth
 from aspenfold._internal.network import codec
 from aspenfold._internal.network import endpoint_client
-from aspenfold._internal.network import leg as leg_module
+from aspenfold._internal.network import frame_queue
 from aspenfold._internal.network import listen
 from aspenfold._internal.observability import events
 from aspenfold._internal.processes import group_member
@@ -54,7 +54,7 @@
         self._cfg = cfg
         self._clock = clock
         self._version = 0
-        self._legs: dict[int, leg_module.Leg] = {}
+        self._queues: dict[int, frame_queue.FrameQueue] = {}
         self._tasks = tasks.Tasks()
         self._clients = agent_client.AgentClients(system_key=cfg.system_key)
         self._stop = asyncio.Event()
@@ -66,9 +66,9 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
-        service = agent_service.AgentService(shell=self)
+        service = agent_service.AgentService(handler=self)
         server = grpclib.server.Server([service])
-        auth.guard(server, self._cfg.system_key)
+        auth.require_system_key(server, self._cfg.system_key)
         port = await listen.start(server, self._cfg.listen, 'listen')
         self._join_group()
         self._tasks.spawn(self._tick())
@@ -91,27 +91,30 @@
     # -- from the RPC service --------------------------------------------
 
     def execute(
-        self, number: int, leg: leg_module.Leg, req: frames.AttemptRequest
+        self,
+        number: int,
+        queue: frame_queue.FrameQueue,
+        req: frames.AttemptRequest,
     ) -> None:
-        """Take an attempt whose frames go to ``leg``."""
-        self._legs[number] = leg
+        """Take an attempt whose frames go to ``queue``."""
+        self._queues[number] = queue
         self._apply(self.kernel.execute(number, req, self._clock.now()))
 
     def leg_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
-        self._legs.pop(number, None)
+        self._queues.pop(number, None)
         self._apply(self.kernel.leg_closed(number))
 
     def cancel(self, attempt_id: str) -> None:
         """Nobody waits for the attempt."""
         self._apply(self.kernel.cancel(attempt_id))
 
-    def group_message(self, message: messages.Message) -> None:
+    def on_group_message(self, message: messages.Message) -> None:
         """A message of the expert map protocol arrived."""
         if self._member is not None:
             self._member.receive(message)
 
-    def reported(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Take an entry's news and give the report."""
         self._version = max(self._version, request.version)
         self.kernel.ordered(
@@ -136,20 +139,20 @@
 
     # -- from the endpoint, on the loop ----------------------------------
 
-    def head(self, attempt_id: str, head: frames.Head) -> None:
+    def on_head(self, attempt_id: str, head: frames.Head) -> None:
         """The endpoint began to answer."""
         self._apply(self.kernel.endpoint_head(attempt_id, head))
 
-    def items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
+    def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
         """The endpoint gave the next items."""
         self._apply(self.kernel.endpoint_items(attempt_id, items))
 
-    def ended(self, attempt_id: str) -> None:
+    def on_end(self, attempt_id: str) -> None:
         """The answer is whole."""
         events.emit(events.Event.ATTEMPT_ENDED, attempt=attempt_id)
         self._apply(self.kernel.endpoint_ended(attempt_id, self._clock.now()))
 
-    def failed(self, attempt_id: str, failure: exceptions.Failure) -> None:
+    def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
         """There is no whole answer."""
         events.emit(
             events.Event.ATTEMPT_REFUSED,
@@ -162,15 +165,17 @@
 
     def _make_endpoint(self) -> endpoint_client.EndpointClient:
         cfg = self._cfg
-        target = endpoint_client.Target(
+        config = endpoint_client.EndpointConfig(
             base_url=cfg.endpoint.url,
             path=cfg.endpoint_path,
             kind=cfg.kind,
             operations=cfg.operations,
         )
-        threads = cfg.capacity * agent_kernel.QUEUE_FACTOR + SPARE_THREADS
+        threads = (
+            cfg.capacity * agent_kernel.MAX_ACCEPTED_RATIO + SPARE_THREADS
+        )
         return endpoint_client.EndpointClient(
-            target=target,
+            config=config,
             threads=threads,
             loop=asyncio.get_running_loop(),
             sink=self,
@@ -197,7 +202,7 @@
         limit = self._cfg.drain_limit_ms / 1000
         try:
             async with asyncio.timeout(limit):
-                while self._legs or not self.kernel.may_exit:
+                while self._queues or not self.kernel.may_exit:
                     await asyncio.sleep(TICK)
         except TimeoutError:
             events.emit(
@@ -209,7 +214,7 @@
                 code=exceptions.Code.ANSWER_CUT,
                 detail='the agent reached its drain limit',
             )
-            self._apply(self.kernel.cut_all(failure))
+            self._apply(self.kernel.abort_running(failure))
         # Entries learn from these last reports that it has drained.
         await asyncio.sleep(LINGER)
 
@@ -222,13 +227,13 @@
         for action in result:
             match action:
                 case actions.Send(leg=number, frame=frame):
-                    leg = self._legs.get(number)
-                    if leg is not None:
-                        leg.put(frame)
+                    queue = self._queues.get(number)
+                    if queue is not None:
+                        queue.put(frame)
                 case actions.CloseLeg(leg=number):
-                    leg = self._legs.get(number)
-                    if leg is not None:
-                        leg.close()
+                    queue = self._queues.get(number)
+                    if queue is not None:
+                        queue.close()
                 case actions.CallEndpoint(request=request):
                     events.emit(
                         events.Event.ATTEMPT_STARTED,
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -15,12 +15,12 @@
 
 from aspenfold._internal.calls import actions
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
-from aspenfold._internal.leases import duties as duties_module
+from aspenfold._internal.leases import leased_tasks as leased_tasks_module
 from aspenfold._internal.models import hosts
 from aspenfold._internal.models import records
 from aspenfold._internal.models import settings
@@ -76,7 +76,7 @@
         self._host_list = host_list_client.HostListClient(
             base_url=cfg.platform.host_list.url
         )
-        self._duties = duties_module.Duties(
+        self._leased_tasks = leased_tasks_module.LeasedTasks(
             name=cfg.name,
             rng=rng,
             snapshot_interval=cfg.snapshot_interval_ms
@@ -123,8 +123,8 @@
             offset = judged.record.offset
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
-                self._duties.snapshot_seen(offset, self._entry.clock.now())
-            if judged.verdict is not fold.Verdict.ACCEPTED:
+                self._leased_tasks.on_snapshot(offset, self._entry.clock.now())
+            if judged.verdict is not reducer.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
                     offset=offset,
@@ -153,9 +153,9 @@
         while True:
             await asyncio.sleep(DUTY_INTERVAL)
             reading = self._kernel.fleet_reader
-            if not self._kernel.log_up or reading.recovering:
+            if not self._kernel.log_up or reading.awaiting_snapshot:
                 continue
-            for record in self._duties.tick(
+            for record in self._leased_tasks.tick(
                 reading.state, self._expert_loads(), self._entry.clock.now()
             ):
                 await self._append(record)
@@ -205,8 +205,8 @@
     async def _ask_peer(self, address: str, port: int) -> None:
         have = self._kernel.fleet_reader.state.next_offset
         try:
-            reply = await self._entry.clients.fleet(address, port, have)
-        except agent_client.LOST:
+            reply = await self._entry.clients.fetch_fleet(address, port, have)
+        except agent_client.CALL_ERRORS:
             return
         if not reply.state:
             return
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -39,8 +39,8 @@
         counts = rank_protocol.Counts(
             epoch=self.epoch, counts=tuple(self.counts)
         )
-        self.found.sample(0, counts)
-        self.found.process_samples(self.now)
+        self.found.add_counts(0, counts)
+        self.found.update_estimate(self.now)
 
     def loads(self) -> list[list[float]]:
         """Return what is known of demand."""
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -6,15 +6,15 @@
 import pytest
 from tests.lib import fleets
 
-from aspenfold._internal.configuration import fold
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.expertmaps import planner
-from aspenfold._internal.leases import duties
-from aspenfold._internal.leases import keeper
+from aspenfold._internal.leases import lease_client
+from aspenfold._internal.leases import leased_tasks
 from aspenfold._internal.models import fleet
 from aspenfold._internal.models import records
 
-LEASE = fold.MAP_LEASE + 'group-0'
+LEASE = reducer.MAP_LEASE_PREFIX + 'group-0'
 GROUP = {
     'name': 'group-0',
     'service': 'llm',
@@ -51,10 +51,12 @@
 
 def feed(
     state: state_module.FleetState, *given: records.Record
-) -> list[fold.Verdict]:
+) -> list[reducer.Verdict]:
     """Fold records in order and return the verdicts."""
     return [
-        fold.fold(state, state.next_offset, record.model_dump(mode='json'))
+        reducer.apply_record(
+            state, state.next_offset, record.model_dump(mode='json')
+        )
         for record in given
     ]
 
@@ -97,7 +99,7 @@
     feed(state, grant('entry-a', 0), plan('a', 1))
     version = state.maps['group-0'].version
     (verdict,) = feed(state, plan('a', 1))
-    assert verdict is fold.Verdict.NO_CHANGE
+    assert verdict is reducer.Verdict.NO_CHANGE
     assert state.maps['group-0'].version == version
 
 
@@ -117,7 +119,7 @@
     """The time is counted from when this process saw the grant."""
     state = state_module.FleetState()
     feed(state, grant('entry-a', 0))
-    other = keeper.LeaseKeeper(holder='entry-b')
+    other = lease_client.LeaseClient(holder='entry-b')
     ttl = 1000 * sim_module.MS
     now = sim_module.START
     assert other.request(state, LEASE, ttl, 'x', now) is None
@@ -133,20 +135,20 @@
     state = state_module.FleetState()
     state.set_document(1, document, fleet.Fleet.model_validate(document))
     state.next_offset = 2
-    doer = duties.Duties(
+    tasks = leased_tasks.LeasedTasks(
         name='entry-a',
         rng=random.Random(1),
-        snapshot_interval=duties.LEASE_TTL * 1000,
+        snapshot_interval=leased_tasks.LEASE_TTL * 1000,
     )
     now = sim_module.START
     for _ in range(2):
-        feed(state, *doer.tick(state, {}, now))
+        feed(state, *tasks.tick(state, {}, now))
     assert planner.skew(state.maps['group-0'].placement, [1.0] * 16) == 1.0
     first = state.maps['group-0'].version
-    later = now + duties.PLAN_INTERVAL
-    assert doer.tick(state, {'group-0': [1.0] * 16}, later) == []
+    later = now + leased_tasks.PLAN_INTERVAL
+    assert tasks.tick(state, {'group-0': [1.0] * 16}, later) == []
     load = [1.0] * 15 + [9.0]
-    feed(state, *doer.tick(state, {'group-0': load}, later))
+    feed(state, *tasks.tick(state, {'group-0': load}, later))
     current = state.maps['group-0']
     assert current.version > first
     assert planner.skew(current.placement, load) < 1.1
