--- a/src/aspenfold/_internal/gateway/ports.py
+++ b/src/aspenfold/_internal/gateway/ports.py
@@ -5,7 +5,7 @@
 import datetime
 import typing
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import directory
 from aspenfold._internal.gateway import plan
 
@@ -25,7 +25,7 @@
         self.first = first
 
 
-class EngineSilent(Exception):
+class EngineUnavailable(Exception):
     """An engine did not answer, or not what it should."""
 
 
@@ -82,28 +82,28 @@
     async def put(self, topic: str, key: str, value: bytes) -> int:
         """Append a record wherever the topic ends; return its offset."""
 
-    def forget_connections(self) -> None:
+    def reset_connections(self) -> None:
         """Give up calls in progress; the path to the store was cut."""
 
 
 class Engine(typing.Protocol):
     """Model engines, by the address of their endpoint.
 
-    :meth:`report` and :meth:`counts` raise :class:`EngineSilent`.
+    :meth:`report` and :meth:`counts` raise :class:`EngineUnavailable`.
     """
 
-    async def report(self, host: str, port: int) -> ranks.Report:
+    async def report(self, host: str, port: int) -> rank_protocol.Report:
         """Return a rank's state."""
 
-    async def counts(self, host: str, port: int) -> ranks.Counts:
+    async def counts(self, host: str, port: int) -> rank_protocol.Counts:
         """Return how often a rank's requests chose each expert."""
 
-    async def held(self, host: str, port: int) -> ranks.RankMap:
+    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that a rank uses."""
 
     async def order(
-        self, host: str, port: int, order: ranks.Order
-    ) -> ranks.Answer:
+        self, host: str, port: int, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Give a rank an order."""
 
 
@@ -115,7 +115,7 @@
     ) -> tuple[int, bytes]:
         """Return an answer's status and body; orders have a ``body``.
 
-        Raises :class:`EngineSilent`.
+        Raises :class:`EngineUnavailable`.
         """
 
 
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -20,7 +20,7 @@
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
-from aspenfold._internal.leases import duties as duties_module
+from aspenfold._internal.leases import leased_tasks as leased_tasks_module
 from aspenfold._internal.models import hosts
 from aspenfold._internal.models import records
 from aspenfold._internal.models import settings
@@ -76,7 +76,7 @@
         self._host_list = host_list_client.HostListClient(
             base_url=cfg.platform.host_list.url
         )
-        self._duties = duties_module.Duties(
+        self._leased_tasks = leased_tasks_module.LeasedTasks(
             name=cfg.name,
             rng=rng,
             snapshot_interval=cfg.snapshot_interval_ms
@@ -123,7 +123,7 @@
             offset = judged.record.offset
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
-                self._duties.snapshot_seen(offset, self._entry.clock.now())
+                self._leased_tasks.on_snapshot(offset, self._entry.clock.now())
             if judged.verdict is not reducer.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
@@ -155,7 +155,7 @@
             reading = self._kernel.fleet_reader
             if not self._kernel.log_up or reading.awaiting_snapshot:
                 continue
-            for record in self._duties.tick(
+            for record in self._leased_tasks.tick(
                 reading.state, self._expert_loads(), self._entry.clock.now()
             ):
                 await self._append(record)
@@ -205,8 +205,8 @@
     async def _ask_peer(self, address: str, port: int) -> None:
         have = self._kernel.fleet_reader.state.next_offset
         try:
-            reply = await self._entry.clients.fleet(address, port, have)
-        except agent_client.LOST:
+            reply = await self._entry.clients.fetch_fleet(address, port, have)
+        except agent_client.CALL_ERRORS:
             return
         if not reply.state:
             return
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -74,7 +74,7 @@
         try:
             await self._server.start(address.host, address.port)
         except OSError as exc:
-            raise port_errors.unavailable(
+            raise port_errors.port_unavailable(
                 where=str(address), field='listen', exc=exc
             ) from exc
         events.emit(
@@ -140,7 +140,7 @@
             status, body = await self._engine.forward(
                 engine.host, engine.port, request.target, request.body
             )
-        except ports.EngineSilent as exc:
+        except ports.EngineUnavailable as exc:
             self.silent += 1
             events.emit(
                 events.Event.ENGINE_SILENT,
