--- a/bench/model.py
+++ b/bench/model.py
@@ -83,9 +83,9 @@
     def _apply(self, result: list[agent_actions.Action]) -> None:
         for action in result:
             match action:
-                case agent_actions.Send(leg=leg, frame=frame):
+                case agent_actions.Send(stream_id=leg, frame=frame):
                     self._legs[leg](frame)
-                case agent_actions.CloseAnswerStream(leg=leg):
+                case agent_actions.CloseAnswerStream(stream_id=leg):
                     del self._legs[leg]
                 case agent_actions.CallEndpoint(request=request):
                     urgency = URGENCY[request.priority]
@@ -240,7 +240,7 @@
                 NETWORK_MS,
                 lambda: self._apply(
                     kernel,
-                    kernel.on_frame(action.leg, frame, self.sim.now),
+                    kernel.on_frame(action.stream_id, frame, self.sim.now),
                 ),
             )
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -109,7 +109,7 @@
             load=frames.Load(capacity=10**6),
             body=body,
         )
-        kernel.on_frame(opened.leg, frame, now)  # type: ignore[union-attr]
+        kernel.on_frame(opened.stream_id, frame, now)  # type: ignore[union-attr]
 
 
 @report.measure('decision-cost')
--- a/src/aspenfold/_internal/attempts/actions.py
+++ b/src/aspenfold/_internal/attempts/actions.py
@@ -9,7 +9,7 @@
 class Send:
     """Send a frame on a leg."""
 
-    leg: int
+    stream_id: int
     frame: frames.Frame
 
 
@@ -17,7 +17,7 @@
 class CloseAnswerStream:
     """Nothing more follows on the leg."""
 
-    leg: int
+    stream_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -392,7 +392,7 @@
         for stream_id in known.streams:
             self._streams.pop(stream_id, None)
             result.append(self._send(stream_id, known, body))
-            result.append(actions.CloseAnswerStream(leg=stream_id))
+            result.append(actions.CloseAnswerStream(stream_id=stream_id))
         known.streams.clear()
         return result
 
@@ -402,7 +402,7 @@
         frame = frames.Frame(
             attempt_id=known.attempt_id, load=self.load, body=body
         )
-        return actions.Send(leg=stream_id, frame=frame)
+        return actions.Send(stream_id=stream_id, frame=frame)
 
     def _refuse(
         self,
@@ -420,8 +420,8 @@
             body=frames.Refused(failure=failure),
         )
         return [
-            actions.Send(leg=stream_id, frame=frame),
-            actions.CloseAnswerStream(leg=stream_id),
+            actions.Send(stream_id=stream_id, frame=frame),
+            actions.CloseAnswerStream(stream_id=stream_id),
         ]
 
     def _finish(self, known: attempt_module.Attempt) -> None:
--- a/src/aspenfold/_internal/calls/actions.py
+++ b/src/aspenfold/_internal/calls/actions.py
@@ -12,7 +12,7 @@
 class OpenAnswerStream:
     """Send the request to the agent on ``host``; answer on ``leg``."""
 
-    leg: int
+    stream_id: int
     host: hosts.Host
     request: frames.AttemptRequest
 
@@ -21,7 +21,7 @@
 class CloseAnswerStream:
     """Stop reading the leg."""
 
-    leg: int
+    stream_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -357,7 +357,7 @@
         )
         return [
             actions.OpenAnswerStream(
-                leg=self._stream_id, host=known.host, request=request
+                stream_id=self._stream_id, host=known.host, request=request
             )
         ]
 
@@ -522,7 +522,7 @@
         if self._stream_id is None:
             return []
         stream_id, self._stream_id = self._stream_id, None
-        return [actions.CloseAnswerStream(leg=stream_id)]
+        return [actions.CloseAnswerStream(stream_id=stream_id)]
 
     def _cancel(self) -> list[actions.Action]:
         attempt = self._attempt
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -352,7 +352,7 @@
         """Keep the books after a flow moved."""
         for action in result:
             if isinstance(action, actions.CloseAnswerStream):
-                self._remove_stream(action.leg)
+                self._remove_stream(action.stream_id)
         call = flow.call
         if flow.state is not flow_module.State.ENDED:
             # Frames come by the thousand; only a changed time is pushed.
--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -30,7 +30,7 @@
     ) -> None:
         """Take an attempt whose frames go to ``queue``."""
 
-    def leg_closed(self, number: int) -> None:
+    def on_stream_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
 
     def cancel(self, attempt_id: str) -> None:
@@ -67,7 +67,7 @@
                 # Lets frames that arrive together gather into one.
                 await asyncio.sleep(0)
         finally:
-            self._handler.leg_closed(number)
+            self._handler.on_stream_closed(number)
 
     async def Cancel(self, stream: ExecuteStream) -> None:
         """Stop work that nobody waits for."""
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -100,7 +100,7 @@
         self._queues[number] = queue
         self._apply(self.kernel.execute(number, req, self._clock.now()))
 
-    def leg_closed(self, number: int) -> None:
+    def on_stream_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
         self._queues.pop(number, None)
         self._apply(self.kernel.on_stream_closed(number))
@@ -228,11 +228,11 @@
     def _apply(self, result: list[actions.Action]) -> None:
         for action in result:
             match action:
-                case actions.Send(leg=number, frame=frame):
+                case actions.Send(stream_id=number, frame=frame):
                     queue = self._queues.get(number)
                     if queue is not None:
                         queue.put(frame)
-                case actions.CloseAnswerStream(leg=number):
+                case actions.CloseAnswerStream(stream_id=number):
                     queue = self._queues.get(number)
                     if queue is not None:
                         queue.close()
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -245,8 +245,8 @@
             match action:
                 case actions.OpenAnswerStream():
                     task = self._loop.create_task(self._run_leg(action))
-                    self._legs[action.leg] = task
-                case actions.CloseAnswerStream(leg=leg):
+                    self._legs[action.stream_id] = task
+                case actions.CloseAnswerStream(stream_id=leg):
                     self._close_leg(leg)
                 case actions.CancelAttempt(host=host, attempt_id=attempt):
                     self.tasks.spawn(
@@ -308,12 +308,12 @@
                 str(host.address), host.port, action.request
             ):
                 now = self.clock.now()
-                self.apply(self.kernel.on_frame(action.leg, frame, now))
+                self.apply(self.kernel.on_frame(action.stream_id, frame, now))
                 if response is not None:
                     await response.drain()
         except agent_client.AnswerStreamLost as exc:
             sent = exc.sent
-        if self._legs.pop(action.leg, None) is None:
+        if self._legs.pop(action.stream_id, None) is None:
             return
         events.emit(
             events.Event.ATTEMPT_LOST,
@@ -323,7 +323,9 @@
             sent=sent,
         )
         self.apply(
-            self.kernel.on_stream_lost(action.leg, sent, self.clock.now())
+            self.kernel.on_stream_lost(
+                action.stream_id, sent, self.clock.now()
+            )
         )
 
     def _close_leg(self, leg: int) -> None:
--- a/tests/lib/world.py
+++ b/tests/lib/world.py
@@ -180,9 +180,9 @@
         """Carry out the kernel's actions."""
         for action in result:
             match action:
-                case agent_actions.Send(leg=number, frame=frame):
+                case agent_actions.Send(stream_id=number, frame=frame):
                     self.legs[number].send(frame)
-                case agent_actions.CloseAnswerStream(leg=number):
+                case agent_actions.CloseAnswerStream(stream_id=number):
                     self.legs.pop(number).close()
                 case agent_actions.CallEndpoint(request=req):
                     self.sim.after(
@@ -332,20 +332,20 @@
         world = self.world
         agent = world.agents[action.host.name]
         if not agent.alive:
-            self.sim.after(2, lambda: self.leg_lost(action.leg, False))
+            self.sim.after(2, lambda: self.leg_lost(action.stream_id, False))
             return
         if not world.network.reaches(self.zone, agent.zone):
             self.sim.after(
-                CUT_NOTICED_MS, lambda: self.leg_lost(action.leg, False)
+                CUT_NOTICED_MS, lambda: self.leg_lost(action.stream_id, False)
             )
             return
         copies = world.network.copies()
         if not copies:
-            self.sim.after(50, lambda: self.leg_lost(action.leg, True))
+            self.sim.after(50, lambda: self.leg_lost(action.stream_id, True))
         for copy in range(copies):
             leg = Leg(
                 world=world,
-                entry_leg=action.leg,
+                entry_leg=action.stream_id,
                 entry=self,
                 agent=agent,
                 silent=copy > 0,
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -41,9 +41,9 @@
                 case actions.CallEndpoint(request=request):
                     self.handed.append(request.attempt_id)
                     self.unfinished.add(request.attempt_id)
-                case actions.CloseAnswerStream(leg=stream_id):
+                case actions.CloseAnswerStream(stream_id=stream_id):
                     self.open_streams.discard(stream_id)
-                case actions.Send(leg=stream_id, frame=frame):
+                case actions.Send(stream_id=stream_id, frame=frame):
                     assert stream_id in self.open_streams
                     self._note(frame)
 
