--- a/src/aspenfold/_internal/attempts/actions.py
+++ b/src/aspenfold/_internal/attempts/actions.py
@@ -9,15 +9,15 @@
 class Send:
     """Send a frame on a leg."""
 
-    leg: int
+    stream_id: int
     frame: frames.Frame
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class CloseLeg:
+class CloseAnswerStream:
     """Nothing more follows on the leg."""
 
-    leg: int
+    stream_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -34,4 +34,4 @@
     attempt_id: str
 
 
-Action = Send | CloseLeg | CallEndpoint | CancelEndpoint
+Action = Send | CloseAnswerStream | CallEndpoint | CancelEndpoint
--- a/src/aspenfold/_internal/calls/actions.py
+++ b/src/aspenfold/_internal/calls/actions.py
@@ -9,19 +9,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class OpenLeg:
+class OpenAnswerStream:
     """Send the request to the agent on ``host``; answer on ``leg``."""
 
-    leg: int
+    stream_id: int
     host: hosts.Host
     request: frames.AttemptRequest
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class CloseLeg:
+class CloseAnswerStream:
     """Stop reading the leg."""
 
-    leg: int
+    stream_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -74,8 +74,8 @@
 
 
 Action = (
-    OpenLeg
-    | CloseLeg
+    OpenAnswerStream
+    | CloseAnswerStream
     | CancelAttempt
     | AppendClaim
     | DeliverHead
