--- a/bench/scale.py
+++ b/bench/scale.py
@@ -12,8 +12,8 @@
 
 from aspenfold._internal.calls import call as call_module
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import patch
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.models import fleet
@@ -60,9 +60,9 @@
         for n in range(entries)
     ]
     kernel.view = type(kernel.view)(owner='entry-0', zone='zone-0')
-    kernel.listed(hosts.HostList(version=2, hosts=listed))
+    kernel.on_host_list(hosts.HostList(version=2, hosts=listed))
     for known in kernel.view.watched():
-        kernel.view.reported(
+        kernel.view.update_report(
             known.name, 'i', frames.Load(capacity=10**6), sim_module.START
         )
     return kernel
@@ -109,7 +109,7 @@
             load=frames.Load(capacity=10**6),
             body=body,
         )
-        kernel.frame(opened.leg, frame, now)  # type: ignore[union-attr]
+        kernel.on_frame(opened.stream_id, frame, now)  # type: ignore[union-attr]
 
 
 @report.measure('decision-cost')
@@ -214,13 +214,13 @@
 def _dealt(
     owner: str, owners: list[str], names: list[str], size: int
 ) -> abc.Iterable[str]:
-    return subset.deal(owner, owners, names, size)
+    return subset.assign(owner, owners, names, size)
 
 
 def _picked(
     owner: str, owners: list[str], names: list[str], size: int
 ) -> abc.Iterable[str]:
-    return subset.pick(owner, names, size)
+    return subset.select(owner, names, size)
 
 
 @report.measure('configuration')
@@ -245,9 +245,9 @@
         )
         body = record.model_dump(mode='json')
         began = time.process_time()
-        verdict = fold.fold(state, 2, body)
+        verdict = reducer.apply_record(state, 2, body)
         folded = time.process_time() - began
-        assert verdict is fold.Verdict.ACCEPTED
+        assert verdict is reducer.Verdict.ACCEPTED
         variant = f'{count} organisations'
         rows += [
             report.Row(
--- a/src/aspenfold/_internal/calls/hub.py
+++ b/src/aspenfold/_internal/calls/context.py
@@ -4,11 +4,11 @@
 import typing
 
 from aspenfold._internal.calls import call as call_module
-from aspenfold._internal.claims import fold as claim_fold
+from aspenfold._internal.claims import table as claim_table
 from aspenfold._internal.membership import endpoint as endpoint_module
 
 
-class Hub(typing.Protocol):
+class CallContext(typing.Protocol):
     """The entry kernel as its flows see it."""
 
     system_key: str
@@ -17,7 +17,7 @@
     def log_up(self) -> bool:
         """Whether the log service answered lately."""
 
-    def claims(self, scoped_key: str) -> claim_fold.ClaimFold:
+    def claims(self, scoped_key: str) -> claim_table.ClaimTable:
         """Return the fold of the stream that decides the key."""
 
     def claim_stream(self, scoped_key: str) -> str:
@@ -34,7 +34,7 @@
     def new_id(self) -> str:
         """Return a unique attempt id."""
 
-    def new_leg(self, call_id: str) -> int:
+    def new_stream_id(self, call_id: str) -> int:
         """Return the number of a new leg of the call."""
 
     def retry_wait(
@@ -42,7 +42,7 @@
     ) -> datetime.timedelta | None:
         """Return the wait before a retry, None if the budget is spent."""
 
-    def succeeded(
+    def on_complete_answer(
         self, call: call_module.Call, endpoint: str, now: datetime.datetime
     ) -> None:
         """Note a whole answer."""
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -35,7 +35,7 @@
         *,
         core: core_module.Core,
         request: http1_server.Request,
-        answer: http1_server.Answer,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         self._core = core
         self._request = request
@@ -59,7 +59,7 @@
         if route is None:
             return
         history = outcome.History(route=route)
-        self._core.retry_budget(self._call.service).request()
+        self._core.retry_budget(self._call.service).record_request()
         try:
             await self._attempts(history)
         except asyncio.CancelledError:
@@ -147,7 +147,7 @@
             end = outcome.AttemptResult.DECLINED
         # What no endpoint got yet is not sent *again*.
         free = history.attempts_sent == 0
-        allowed = free or budget.left >= 1
+        allowed = free or budget.available >= 1
         step = outcome.next_step(history, end, budget=allowed)
         if (
             step is outcome.NextStep.REFUSE
@@ -230,7 +230,7 @@
         )
         self._answer.start(held.status, headers)
         if held.body:
-            self._answer.data(held.body)
+            self._answer.write(held.body)
         self._answer.end()
 
     def _end_without_endpoint(self, history: outcome.History) -> None:
@@ -271,7 +271,7 @@
             headers.append((b'retry-after', value))
         status = refusal.status(failure.code)
         self._answer.start(status, headers)
-        self._answer.data(body)
+        self._answer.write(body)
         self._answer.end()
         self._core.metrics.count('refusals', str(int(failure.code)))
         self._finished(
@@ -320,7 +320,9 @@
             endpoint=endpoint.name,
             end=end.value,
             age_ms=self._call.age_ms,
-            budget=round(self._core.retry_budget(self._call.service).left, 1),
+            budget=round(
+                self._core.retry_budget(self._call.service).available, 1
+            ),
         )
 
 
--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -9,42 +9,45 @@
 from aspenfold._internal.expertmaps import messages
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.network import codec
-from aspenfold._internal.network import leg as leg_module
+from aspenfold._internal.network import frame_queue
 from aspenfold._internal.rpc import aspenfold_grpc as rpc
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
 ExecuteStream = grpclib.server.Stream
 
 
-class AgentShell(typing.Protocol):
+class AgentHandler(typing.Protocol):
     """What the service needs of the agent's process."""
 
     name: str
     kernel: agent_kernel.AgentKernel
 
     def execute(
-        self, number: int, leg: leg_module.Leg, req: frames.AttemptRequest
+        self,
+        number: int,
+        queue: frame_queue.FrameQueue,
+        req: frames.AttemptRequest,
     ) -> None:
-        """Take an attempt whose frames go to ``leg``."""
+        """Take an attempt whose frames go to ``queue``."""
 
-    def leg_closed(self, number: int) -> None:
+    def on_stream_closed(self, number: int) -> None:
         """The reader of a leg is gone or has all."""
 
     def cancel(self, attempt_id: str) -> None:
         """Nobody waits for the attempt."""
 
-    def group_message(self, message: messages.Message) -> None:
+    def on_group_message(self, message: messages.Message) -> None:
         """A message of the expert map protocol arrived."""
 
-    def reported(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Take an entry's news and give the report."""
 
 
 class AgentService(rpc.AgentBase):
-    """The generated service, served by an agent's shell."""
+    """The generated service, served by an agent's handler."""
 
-    def __init__(self, *, shell: AgentShell) -> None:
-        self._shell = shell
+    def __init__(self, *, handler: AgentHandler) -> None:
+        self._handler = handler
         self._next_leg = 1
 
     async def Execute(self, stream: ExecuteStream) -> None:
@@ -54,24 +57,24 @@
             return
         number = self._next_leg
         self._next_leg += 1
-        leg = leg_module.Leg()
+        queue = frame_queue.FrameQueue()
         request = codec.request_from_pb(message)
-        self._shell.execute(number, leg, request)
+        self._handler.execute(number, queue, request)
         try:
-            while taken := await leg.take():
+            while taken := await queue.take():
                 for frame in taken:
                     await stream.send_message(codec.frame_to_pb(frame))
                 # Lets frames that arrive together gather into one.
                 await asyncio.sleep(0)
         finally:
-            self._shell.leg_closed(number)
+            self._handler.on_stream_closed(number)
 
     async def Cancel(self, stream: ExecuteStream) -> None:
         """Stop work that nobody waits for."""
         message = await stream.recv_message()
         if message is None:
             return
-        self._shell.cancel(message.attempt_id)
+        self._handler.cancel(message.attempt_id)
         await stream.send_message(pb.CancelReply())
 
     async def Report(self, stream: ExecuteStream) -> None:
@@ -79,12 +82,12 @@
         message = await stream.recv_message()
         if message is None:
             return
-        await stream.send_message(self._shell.reported(message))
+        await stream.send_message(self._handler.on_report(message))
 
     async def Group(self, stream: ExecuteStream) -> None:
         """Take a message of the expert map protocol."""
         message = await stream.recv_message()
         if message is None:
             return
-        self._shell.group_message(codec.group_from_pb(message))
+        self._handler.on_group_message(codec.group_from_pb(message))
         await stream.send_message(pb.GroupReply())
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 server on the process's own loop, over the parser h11.
+"""HTTP/1.1 server on asyncio, parsed by h11.
 
-A request is read whole before it is handed on.  The task that answers
-it is cancelled as soon as the caller closes its connection, also
-before the first byte of the answer.
+The handler is called with a complete request.  Its task is cancelled
+as soon as the caller closes the connection, even if the response has
+not started.
 """
 
 import asyncio
@@ -19,26 +19,30 @@
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.observability import events
 
-WRITE_LIMIT = 65_536
-"""Bytes that may wait for a slow reader before its answer pauses."""
+MAX_UNSENT_BYTES = 65_536
+"""Writing a response pauses while more bytes wait to be sent."""
 
-SLOW_READER_LIMIT = datetime.timedelta(seconds=10)
-"""How long an answer may wait for its reader; over every timeout."""
+SLOW_READER_TIMEOUT = datetime.timedelta(seconds=10)
+"""A caller that does not read for longer counts as disconnected.
 
-MAX_REQUEST_BUFFER = 65_536
-"""Bytes of a next request that may wait while one is answered."""
+Longer than every request timeout.
+"""
+
+MAX_PIPELINED_BYTES = 65_536
+"""Reading pauses while more bytes of the next request are buffered."""
 
-USER_TIMEOUT_MS = 10_000
-"""How long sent bytes may stay unacknowledged by a caller."""
+TCP_USER_TIMEOUT_MS = 10_000
+"""The connection is reset if sent bytes stay unacknowledged for longer."""
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A whole request; header names are in lower case.
+    """A complete request with lower-case header names.
 
-    ``sender`` is the IP address that it came from.
+    ``connection_reused`` is True if the connection has carried an
+    earlier request; ``remote_ip`` is the peer's IP address.
     """
 
     method: bytes
@@ -46,78 +50,81 @@
     headers: Headers
     body: bytes
     received_at: datetime.datetime
-    kept: bool
-    sender: str = ''
+    connection_reused: bool
+    remote_ip: str = ''
 
     def header(self, name: bytes) -> bytes:
-        """Return the header's value, empty if it is absent."""
-        for known, value in self.headers:
-            if known == name:
+        """Return the first value of a header, or empty bytes."""
+        for key, value in self.headers:
+            if key == name:
                 return value
         return b''
 
 
-class CallerGone(Exception):
-    """The caller closed its connection or does not read."""
+class CallerDisconnected(Exception):
+    """The caller closed its connection or stopped reading."""
 
 
-class Answer(typing.Protocol):
-    """Where the answer to one request is written."""
+class ResponseWriter(typing.Protocol):
+    """Writes the response to one request."""
 
     @property
     def started(self) -> bool:
-        """Whether the head was sent."""
+        """Whether the status line and headers were sent."""
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head; without a length the body is chunked."""
+        """Send the head; without a content-length the body is chunked."""
 
-    def data(self, body: bytes) -> None:
-        """Send a piece of the body."""
+    def write(self, body: bytes) -> None:
+        """Send a part of the body."""
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
 
     def abort(self) -> None:
-        """End the connection so that the answer looks incomplete."""
+        """Close the connection, leaving the response incomplete."""
+
+    async def drain(self) -> None:
+        """Wait until the write buffer is below its limit.
 
-    async def room(self) -> None:
-        """Wait until the caller has read enough, or raise CallerGone."""
+        Raises CallerDisconnected.
+        """
 
 
-Handler = abc.Callable[[Request, Answer], abc.Awaitable[None]]
+RequestHandler = abc.Callable[[Request, ResponseWriter], abc.Awaitable[None]]
 
 
-class Host(typing.Protocol):
-    """What a connection needs of its server."""
+class ConnectionOwner(typing.Protocol):
+    """The server as its connections use it."""
 
     clock: clock_module.Clock
-    handler: Handler
+    handler: RequestHandler
     closing: bool
     connections: 'set[ServerConnection]'
 
     def limits(self) -> plan.Limits:
-        """Return the limits that are in force now."""
+        """Return the current size limits and timeouts."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection: requests in, answers out, in order."""
+    """A caller's connection; serves its requests one after the other."""
 
-    def __init__(self, *, host: Host) -> None:
-        self._host = host
+    def __init__(self, *, owner: ConnectionOwner) -> None:
+        self._owner = owner
         self._loop = asyncio.get_running_loop()
-        self._limits = host.limits()
+        self._limits = owner.limits()
         self._parser = self._new_parser()
         self._transport: asyncio.Transport | None = None
         self._head: h11.Request | None = None
         self._body: list[bytes] = []
-        self._body_bytes = 0
+        self._body_size = 0
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._served = 0
-        self._begun = False
+        self._request_count = 0
+        self._receiving = False
         self._writable = asyncio.Event()
         self._writable.set()
-        self._sender = ''
+        self._remote_ip = ''
         self.started = False
 
     def _new_parser(self) -> h11.Connection:
@@ -126,43 +133,43 @@
             max_incomplete_event_size=self._limits.header_bytes + 1024,
         )
 
-    # -- called by the loop ----------------------------------------------
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for the first request."""
+        """Set the socket options and start the idle timer."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=WRITE_LIMIT)
+        self._transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         sock = transport.get_extra_info('socket')
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+                socket.IPPROTO_TCP,
+                socket.TCP_USER_TIMEOUT,
+                TCP_USER_TIMEOUT_MS,
             )
         peer = transport.get_extra_info('peername')
         if peer is not None:
-            self._sender = peer[0]
-        self._host.connections.add(self)
-        self._wait(self._limits.idle_timeout)
+            self._remote_ip = peer[0]
+        self._owner.connections.add(self)
+        self._start_timer(self._limits.idle_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; a request that is complete starts its task."""
+        """Parse ``data`` and start the handler of a complete request."""
         self._parser.receive_data(data)
         if self._task is not None:
-            if len(self._parser.trailing_data[0]) > MAX_REQUEST_BUFFER:
-                self._pause()
+            if len(self._parser.trailing_data[0]) > MAX_PIPELINED_BYTES:
+                self._pause_reading()
             return
-        if not self._begun:
-            self._begun = True
-            self._wait(self._limits.header_timeout)
+        if not self._receiving:
+            self._receiving = True
+            self._start_timer(self._limits.header_timeout)
         self._parse()
 
     def eof_received(self) -> bool:
-        """The caller sends no more: it has left."""
+        """Treat a half-closed connection as closed."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller is gone; its request is given up."""
-        self._host.connections.discard(self)
+        """Cancel the request in progress."""
+        self._owner.connections.discard(self)
         self._stop_timer()
         self._writable.set()
         self._transport = None
@@ -170,64 +177,62 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """The caller reads slowly."""
+        """Make :meth:`drain` wait."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """The caller has read enough."""
+        """Let :meth:`drain` return."""
         self._writable.set()
 
-    # -- requests --------------------------------------------------------
-
     def _parse(self) -> None:
         try:
             self._parse_events()
         except h11.RemoteProtocolError as exc:
-            self._refuse(exc.error_status_hint or 400)
+            self._reject(exc.error_status_hint or 400)
 
     def _parse_events(self) -> None:
         while self._task is None and self._transport is not None:
             event = self._parser.next_event()
             if event is h11.NEED_DATA:
-                self._continue_if_asked()
+                self._send_continue_if_expected()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
             if isinstance(event, h11.Request):
-                self._take_head(event)
+                self._on_head(event)
             elif isinstance(event, h11.Data):
-                self._take_body(event.data)
+                self._on_body(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self._start()
+                self._start_handler()
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _on_head(self, head: h11.Request) -> None:
         size = sum(len(n) + len(v) + 4 for n, v in head.headers)
         if size + len(head.target) > self._limits.header_bytes:
-            self._refuse(431)
+            self._reject(431)
             return
         self._head = head
         self._body = []
-        self._body_bytes = 0
+        self._body_size = 0
         for name, value in head.headers:
-            too_long = (
+            too_large = (
                 name == b'content-length'
                 and int(value) > self._limits.body_bytes
             )
-            if too_long:
-                self._refuse(413)
-        self._wait(self._limits.idle_timeout)
+            if too_large:
+                self._reject(413)
+        self._start_timer(self._limits.idle_timeout)
 
-    def _take_body(self, data: bytes) -> None:
+    def _on_body(self, data: bytes) -> None:
         self._body.append(bytes(data))
-        self._body_bytes += len(data)
-        if self._body_bytes > self._limits.body_bytes:
-            self._refuse(413)
+        self._body_size += len(data)
+        if self._body_size > self._limits.body_bytes:
+            self._reject(413)
 
-    def _continue_if_asked(self) -> None:
+    def _send_continue_if_expected(self) -> None:
         if self._parser.they_are_waiting_for_100_continue:
             self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _start(self) -> None:
+    def _start_handler(self) -> None:
         self._stop_timer()
         head = self._head
         assert head is not None
@@ -236,35 +241,35 @@
             target=head.target,
             headers=list(head.headers),
             body=b''.join(self._body),
-            received_at=self._host.clock.now(),
-            kept=self._served > 0,
-            sender=self._sender,
+            received_at=self._owner.clock.now(),
+            connection_reused=self._request_count > 0,
+            remote_ip=self._remote_ip,
         )
         self._body = []
         self.started = False
-        self._served += 1
-        self._task = self._loop.create_task(self._answer(request))
+        self._request_count += 1
+        self._task = self._loop.create_task(self._handle(request))
 
-    async def _answer(self, request: Request) -> None:
+    async def _handle(self, request: Request) -> None:
         try:
-            await self._host.handler(request, self)
-        except CallerGone:
+            await self._owner.handler(request, self)
+        except CallerDisconnected:
             self.abort()
         except asyncio.CancelledError:
             self.abort()
             raise
         except Exception as exc:
             events.emit(events.Event.UNEXPECTED, error=repr(exc))
-            self._fail()
+            self._send_internal_error()
         finally:
             self._task = None
         self._next_request()
 
-    def _fail(self) -> None:
+    def _send_internal_error(self) -> None:
         if self.started:
             self.abort()
             return
-        self._short_answer(500)
+        self._send_short_response(500)
 
     def _next_request(self) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -276,21 +281,21 @@
             self._transport.close()
             return
         parser.start_next_cycle()
-        self._limits = self._host.limits()
-        self._begun = bool(parser.trailing_data[0])
-        self._wait(self._limits.idle_timeout)
+        self._limits = self._owner.limits()
+        self._receiving = bool(parser.trailing_data[0])
+        self._start_timer(self._limits.idle_timeout)
         self._transport.resume_reading()
         self._parse()
 
-    def _refuse(self, status: int) -> None:
-        """Refuse what is not a proper request, and close."""
+    def _reject(self, status: int) -> None:
+        """Answer an invalid request with ``status``, and close."""
         self._stop_timer()
         if not self.started:
-            self._short_answer(status)
+            self._send_short_response(status)
         if self._transport is not None:
             self._transport.close()
 
-    def _short_answer(self, status: int) -> None:
+    def _send_short_response(self, status: int) -> None:
         phrase = http.HTTPStatus(status).phrase.encode()
         headers = [
             (b'content-length', str(len(phrase)).encode()),
@@ -299,22 +304,20 @@
         ]
         try:
             self.start(status, headers)
-            self.data(phrase)
+            self.write(phrase)
             self.end()
         except h11.LocalProtocolError:
-            # The answer had begun, or the request is beyond repair.
+            # h11 accepts no response in this state.
             self.abort()
 
-    def _pause(self) -> None:
+    def _pause_reading(self) -> None:
         if self._transport is not None:
             self._transport.pause_reading()
 
-    # -- timers ----------------------------------------------------------
-
-    def _wait(self, limit: datetime.timedelta) -> None:
+    def _start_timer(self, timeout: datetime.timedelta) -> None:
         self._stop_timer()
         self._timer = self._loop.call_later(
-            limit.total_seconds(), self._timed_out
+            timeout.total_seconds(), self._on_timeout
         )
 
     def _stop_timer(self) -> None:
@@ -322,76 +325,80 @@
             self._timer.cancel()
             self._timer = None
 
-    def _timed_out(self) -> None:
-        if self._begun:
-            self._refuse(408)
+    def _on_timeout(self) -> None:
+        if self._receiving:
+            self._reject(408)
         elif self._transport is not None:
             self._transport.close()
 
-    # -- the answer, see Answer ------------------------------------------
-
     def start(self, status: int, headers: Headers) -> None:
-        """Send the head; without a length the body is chunked."""
+        """Send the head; without a content-length the body is chunked."""
         reason = http.HTTPStatus(status).phrase.encode()
-        if self._host.closing:
+        if self._owner.closing:
             headers = [*headers, (b'connection', b'close')]
         self.started = True
         self._send(
             h11.Response(status_code=status, headers=headers, reason=reason)
         )
 
-    def data(self, body: bytes) -> None:
-        """Send a piece of the body."""
+    def write(self, body: bytes) -> None:
+        """Send a part of the body."""
         self._send(h11.Data(data=body))
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Mark the response as complete."""
         self._send(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """End the connection so that the answer looks incomplete."""
+        """Close the connection, leaving the response incomplete."""
         if self._transport is not None:
             self._transport.close()
 
-    async def room(self) -> None:
-        """Wait until the caller has read enough, or raise CallerGone."""
+    async def drain(self) -> None:
+        """Wait until the write buffer is below its limit.
+
+        Raises CallerDisconnected.
+        """
         if self._writable.is_set():
             return
         try:
-            async with asyncio.timeout(SLOW_READER_LIMIT.total_seconds()):
+            async with asyncio.timeout(SLOW_READER_TIMEOUT.total_seconds()):
                 await self._writable.wait()
         except TimeoutError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
         if self._transport is None:
-            raise CallerGone
+            raise CallerDisconnected
 
     def _send(self, event: typing.Any) -> None:
         data = self._parser.send(event)
         transport = self._transport
-        # A write that failed shows here before connection_lost is called.
+        # After a failed write the transport is closing, but
+        # connection_lost has not been called yet.
         if data and transport is not None and not transport.is_closing():
             transport.write(data)
 
-    # -- for the server --------------------------------------------------
-
     @property
     def idle(self) -> bool:
-        """Whether no request is being read or answered."""
-        return self._task is None and not self._begun
+        """Whether no request is being received or served."""
+        return self._task is None and not self._receiving
 
     def close_if_idle(self) -> None:
-        """Close a kept connection on which no request is under way."""
+        """Close the connection if it is idle."""
         if self.idle and self._transport is not None:
             self._transport.close()
 
 
 class Server:
-    """Listens on one address."""
+    """Accepts connections on one address.
+
+    Set ``closing`` to have responses ask callers to close their
+    connections.
+    """
 
     def __init__(
         self,
         *,
-        handler: Handler,
+        handler: RequestHandler,
         clock: clock_module.Clock,
         limits: abc.Callable[[], plan.Limits],
     ) -> None:
@@ -403,27 +410,27 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port, which may have been given as 0."""
+        """Start listening; return the port, chosen freely if given as 0."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ServerConnection(host=self),
+            lambda: ServerConnection(owner=self),
             host,
             port,
-            backlog=BACKLOG,
+            backlog=ACCEPT_BACKLOG,
             reuse_address=True,
         )
         return int(self._server.sockets[0].getsockname()[1])
 
     def close_idle(self) -> None:
-        """Close connections that wait for a next request."""
+        """Close the connections that are idle."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
 
-BACKLOG = 512
-"""Connections that may wait to be accepted: a burst of all callers."""
+ACCEPT_BACKLOG = 512
+"""Connections that the system queues until they are accepted."""
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -15,12 +15,12 @@
 
 from aspenfold._internal.calls import actions
 from aspenfold._internal.calls import kernel as entry_kernel
-from aspenfold._internal.configuration import fold
 from aspenfold._internal.configuration import reader
+from aspenfold._internal.configuration import reducer
 from aspenfold._internal.configuration import state as state_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import clock as clock_module
-from aspenfold._internal.leases import duties as duties_module
+from aspenfold._internal.leases import leased_tasks as leased_tasks_module
 from aspenfold._internal.models import hosts
 from aspenfold._internal.models import records
 from aspenfold._internal.models import settings
@@ -64,7 +64,7 @@
             client=self._log,
             streams=cfg.claim_streams + 1,
             rng=rng,
-            lost=entry.kernel.log_lost,
+            lost=entry.kernel.on_log_lost,
         )
         self._claims = log_tail.ClaimWriter(
             name=cfg.name,
@@ -76,7 +76,7 @@
         self._host_list = host_list_client.HostListClient(
             base_url=cfg.platform.host_list.url
         )
-        self._duties = duties_module.Duties(
+        self._leased_tasks = leased_tasks_module.LeasedTasks(
             name=cfg.name,
             rng=rng,
             snapshot_interval=cfg.snapshot_interval_ms
@@ -112,19 +112,19 @@
     async def _follow_claims(self, stream: str) -> None:
         def take(page: reader.Page) -> None:
             now = self._entry.clock.now()
-            self._entry.apply(self._kernel.claims_page(stream, page, now))
+            self._entry.apply(self._kernel.on_claims_page(stream, page, now))
 
         await self._tail.follow(
             stream, lambda: self._kernel.claims_position(stream), take
         )
 
     def _take_fleet(self, page: reader.Page) -> None:
-        for judged in self._kernel.fleet_page(page):
+        for judged in self._kernel.on_fleet_page(page):
             offset = judged.record.offset
             kind = judged.record.body.get('type')
             if kind == 'snapshot':
-                self._duties.snapshot_seen(offset, self._entry.clock.now())
-            if judged.verdict is not fold.Verdict.ACCEPTED:
+                self._leased_tasks.on_snapshot(offset, self._entry.clock.now())
+            if judged.verdict is not reducer.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
                     offset=offset,
@@ -146,16 +146,16 @@
             else:
                 lost = False
                 self.listing = listing
-                self._kernel.listed(listing)
+                self._kernel.on_host_list(listing)
             await asyncio.sleep(HOST_LIST_INTERVAL)
 
     async def _do_duties(self) -> None:
         while True:
             await asyncio.sleep(DUTY_INTERVAL)
             reading = self._kernel.fleet_reader
-            if not self._kernel.log_up or reading.recovering:
+            if not self._kernel.log_up or reading.awaiting_snapshot:
                 continue
-            for record in self._duties.tick(
+            for record in self._leased_tasks.tick(
                 reading.state, self._expert_loads(), self._entry.clock.now()
             ):
                 await self._append(record)
@@ -205,8 +205,8 @@
     async def _ask_peer(self, address: str, port: int) -> None:
         have = self._kernel.fleet_reader.state.next_offset
         try:
-            reply = await self._entry.clients.fleet(address, port, have)
-        except agent_client.LOST:
+            reply = await self._entry.clients.fetch_fleet(address, port, have)
+        except agent_client.CALL_ERRORS:
             return
         if not reply.state:
             return
@@ -216,7 +216,7 @@
         except (orjson.JSONDecodeError, pydantic.ValidationError):
             # A peer of another version; another one may be of use.
             return
-        if self._kernel.adopt(state):
+        if self._kernel.adopt_state(state):
             events.emit(
                 events.Event.PEER_ADOPTED,
                 offset=state.next_offset,
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -74,7 +74,7 @@
         try:
             await self._server.start(address.host, address.port)
         except OSError as exc:
-            raise port_errors.unavailable(
+            raise port_errors.port_unavailable(
                 where=str(address), field='listen', exc=exc
             ) from exc
         events.emit(
@@ -117,7 +117,9 @@
         events.emit(events.Event.RELOADED, name=self._cfg.name)
 
     async def _handle(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         if not self._passes_on(request):
             _answer(answer, 404, b'')
@@ -129,14 +131,16 @@
             self._in_flight -= 1
 
     async def _pass_on(
-        self, request: http1_server.Request, answer: http1_server.Answer
+        self,
+        request: http1_server.Request,
+        answer: http1_server.ResponseWriter,
     ) -> None:
         engine = self._cfg.engine
         try:
             status, body = await self._engine.forward(
                 engine.host, engine.port, request.target, request.body
             )
-        except ports.EngineSilent as exc:
+        except ports.EngineUnavailable as exc:
             self.silent += 1
             events.emit(
                 events.Event.ENGINE_SILENT,
@@ -155,9 +159,11 @@
         return is_order and request.target == self._order
 
 
-def _answer(answer: http1_server.Answer, status: int, body: bytes) -> None:
+def _answer(
+    answer: http1_server.ResponseWriter, status: int, body: bytes
+) -> None:
     length = str(len(body)).encode()
     answer.start(status, [(b'content-length', length)])
     if body:
-        answer.data(body)
+        answer.write(body)
     answer.end()
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -5,7 +5,7 @@
 import orjson
 import pydantic
 
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.network import http1_client
 
@@ -16,29 +16,29 @@
 """Engines answer in a few milliseconds, or, when orders are late,
 never."""
 
-MIN_PACE = 0.1
+MIN_SLOWDOWN = 0.1
 """A faster rank than this is taken to report nonsense."""
 
-REPORT = b'/api/report'
-COUNTS = b'/api/picked'
-HELD = b'/api/picked?lists=1'
-ORDER = b'/api/order'
+REPORT_TARGET = b'/api/report'
+COUNTS_TARGET = b'/api/picked'
+MAP_TARGET = b'/api/picked?lists=1'
+ORDER_TARGET = b'/api/order'
 
-QUESTIONS = frozenset({REPORT, COUNTS, HELD})
+READ_TARGETS = frozenset({REPORT_TARGET, COUNTS_TARGET, MAP_TARGET})
 """What leaders ask of an engine; beside these an agent passes on orders."""
 
-OP_NAMES = {
-    ranks.Op.PREPARE: 'prepare',
-    ranks.Op.ARM: 'arm',
-    ranks.Op.DISARM: 'disarm',
-    ranks.Op.HOLD: 'hold',
-    ranks.Op.RELEASE: 'go',
+WIRE_OPS = {
+    rank_protocol.Op.PREPARE: 'prepare',
+    rank_protocol.Op.ARM: 'arm',
+    rank_protocol.Op.DISARM: 'disarm',
+    rank_protocol.Op.HOLD: 'hold',
+    rank_protocol.Op.RELEASE: 'go',
 }
 
-ANSWERS = {
-    200: ranks.Answer.ACCEPTED,
-    202: ranks.Answer.ACCEPTED,
-    412: ranks.Answer.FENCED,
+ANSWER_BY_STATUS = {
+    200: rank_protocol.Answer.ACCEPTED,
+    202: rank_protocol.Answer.ACCEPTED,
+    412: rank_protocol.Answer.FENCED,
 }
 """What an order's status means; all others refuse it."""
 
@@ -97,19 +97,19 @@
     def __init__(self) -> None:
         self._idle: dict[tuple[str, int], http1_client.Connection] = {}
 
-    async def report(self, host: str, port: int) -> ranks.Report:
-        """Return a rank's report, or raise ``ports.EngineSilent``."""
-        body = await self._get(host, port, REPORT)
+    async def report(self, host: str, port: int) -> rank_protocol.Report:
+        """Return a rank's report, or raise ``ports.EngineUnavailable``."""
+        body = await self._get(host, port, REPORT_TARGET)
         try:
             found = _Report.model_validate_json(body)
         except pydantic.ValidationError as exc:
-            raise ports.EngineSilent(f'not a report: {exc}') from exc
+            raise ports.EngineUnavailable(f'not a report: {exc}') from exc
         armed = None
         if found.armed is not None:
-            armed = ranks.Armed(
+            armed = rank_protocol.Armed(
                 version=found.armed.version, step=found.armed.step
             )
-        return ranks.Report(
+        return rank_protocol.Report(
             group=found.group.name,
             epoch=found.group.epoch,
             rank=found.group.rank,
@@ -120,36 +120,38 @@
             prepared=found.prepared,
             armed=armed,
             held=found.held,
-            pace=max(MIN_PACE, found.pace),
+            slowdown=max(MIN_SLOWDOWN, found.pace),
         )
 
-    async def counts(self, host: str, port: int) -> ranks.Counts:
+    async def counts(self, host: str, port: int) -> rank_protocol.Counts:
         """Return how often the rank's requests chose each expert."""
-        body = await self._get(host, port, COUNTS)
+        body = await self._get(host, port, COUNTS_TARGET)
         try:
             found = _Counts.model_validate_json(body)
         except pydantic.ValidationError as exc:
-            raise ports.EngineSilent(f'not counts: {exc}') from exc
-        return ranks.Counts(epoch=found.epoch, counts=tuple(found.counts))
+            raise ports.EngineUnavailable(f'not counts: {exc}') from exc
+        return rank_protocol.Counts(
+            epoch=found.epoch, counts=tuple(found.counts)
+        )
 
-    async def held(self, host: str, port: int) -> ranks.RankMap:
+    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that the rank uses."""
-        body = await self._get(host, port, HELD)
+        body = await self._get(host, port, MAP_TARGET)
         try:
             found = _Lists.model_validate_json(body).map
         except pydantic.ValidationError as exc:
-            raise ports.EngineSilent(f'not a map: {exc}') from exc
-        return ranks.RankMap(
+            raise ports.EngineUnavailable(f'not a map: {exc}') from exc
+        return rank_protocol.RankMap(
             version=found.version,
             experts=tuple(tuple(experts) for experts in found.experts),
         )
 
     async def order(
-        self, host: str, port: int, order: ranks.Order
-    ) -> ranks.Answer:
+        self, host: str, port: int, order: rank_protocol.Order
+    ) -> rank_protocol.Answer:
         """Give an order; silence is one of its answers."""
         message: dict[str, object] = {
-            'op': OP_NAMES[order.op],
+            'op': WIRE_OPS[order.op],
             'epoch': order.epoch,
             'fencing_token': order.token,
         }
@@ -161,16 +163,16 @@
             message['map'] = order.new_map
         try:
             status, _ = await self.forward(
-                host, port, ORDER, orjson.dumps(message)
+                host, port, ORDER_TARGET, orjson.dumps(message)
             )
-        except ports.EngineSilent:
-            return ranks.Answer.NONE
-        return ANSWERS.get(status, ranks.Answer.REFUSED)
+        except ports.EngineUnavailable:
+            return rank_protocol.Answer.NONE
+        return ANSWER_BY_STATUS.get(status, rank_protocol.Answer.REFUSED)
 
     async def _get(self, host: str, port: int, path: bytes) -> bytes:
         status, body = await self.forward(host, port, path)
         if status != 200:
-            raise ports.EngineSilent(f'answered {status}')
+            raise ports.EngineUnavailable(f'answered {status}')
         return body
 
     async def forward(
@@ -179,7 +181,7 @@
         """Ask as it stands, or order by a ``body``.
 
         Return the answer's status and body.  Raises
-        ``ports.EngineSilent``.
+        ``ports.EngineUnavailable``.
         """
         if not body:
             return await self._call(host, port, b'GET', target, b'')
@@ -195,18 +197,18 @@
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._exchange(host, port, method, target, body)
         except TimeoutError:
-            raise ports.EngineSilent('no answer in time') from None
+            raise ports.EngineUnavailable('no answer in time') from None
         except (
             http1_client.ConnectionLost,
             http1_client.NotConnected,
         ) as exc:
-            raise ports.EngineSilent(str(exc)) from exc
+            raise ports.EngineUnavailable(str(exc)) from exc
 
     async def _exchange(
         self, host: str, port: int, method: bytes, path: bytes, body: bytes
     ) -> tuple[int, bytes]:
         kept = self._idle.pop((host, port), None)
-        if kept is not None and kept.usable:
+        if kept is not None and kept.reusable:
             connection = kept
         else:
             connection = await http1_client.connect(
@@ -219,12 +221,12 @@
                 (b'content-length', str(len(body)).encode()),
             ]
         try:
-            answer = await connection.whole(method, path, headers, body)
+            answer = await connection.request(method, path, headers, body)
         except BaseException:
             # A call that is given up must not keep its connection.
             connection.close()
             raise
-        if connection.usable and method == b'GET':
+        if connection.reusable and method == b'GET':
             self._drop(host, port)
             self._idle[host, port] = connection
         else:
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -14,7 +14,7 @@
 import pytest
 
 from aspenfold._internal.commands import exits
-from aspenfold._internal.expertmaps import ranks
+from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings as settings_module
 from aspenfold._internal.kernel import clock
@@ -51,9 +51,9 @@
             ),
         ),
         engine=engine_module.EngineClient(),
-        questions=engine_module.QUESTIONS,
-        order=engine_module.ORDER,
-        clock=clock.SteadyClock(),
+        questions=engine_module.READ_TARGETS,
+        order=engine_module.ORDER_TARGET,
+        clock=clock.MonotonicClock(),
     )
 
 
@@ -73,19 +73,19 @@
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
         one = agent(port, rank)
         await one.start()
-        for target in (engine_module.COUNTS, engine_module.HELD):
+        for target in (engine_module.COUNTS_TARGET, engine_module.MAP_TARGET):
             assert await ask(port, target) == await ask(rank.port, target)
         assert (await ask(port, b'/health'))[0] == 404
         client = engine_module.EngineClient()
-        for target in (engine_module.REPORT, b'/v1/completions'):
+        for target in (engine_module.REPORT_TARGET, b'/v1/completions'):
             status, _ = await client.forward(
                 rigs.LOOPBACK, port, target, b'{}'
             )
             assert status == 404
-        assert (await ask(port, engine_module.ORDER))[0] == 404
-        order = ranks.Order(
+        assert (await ask(port, engine_module.ORDER_TARGET))[0] == 404
+        order = rank_protocol.Order(
             rank=0,
-            op=ranks.Op.HOLD,
+            op=rank_protocol.Op.HOLD,
             epoch=1,
             token=9,
             version=0,
@@ -93,7 +93,7 @@
             new_map=(),
         )
         answer = await client.order(rigs.LOOPBACK, port, order)
-        assert answer is ranks.Answer.ACCEPTED
+        assert answer is rank_protocol.Answer.ACCEPTED
         assert group.world.ranks[0].held == order.step
         await one.finish()
         await rank.stop()
@@ -111,8 +111,8 @@
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
         one = agent(port, rank)
         await one.start()
-        with pytest.raises(ports.EngineSilent):
-            await ask(port, engine_module.REPORT)
+        with pytest.raises(ports.EngineUnavailable):
+            await ask(port, engine_module.REPORT_TARGET)
         assert one.silent == 1
         await one.finish()
         await rank.stop()
@@ -142,15 +142,15 @@
         one = agent(port, rank)
         await one.start()
         reader, writer = await asyncio.open_connection(rigs.LOOPBACK, port)
-        asking = asyncio.ensure_future(ask(port, engine_module.COUNTS))
+        asking = asyncio.ensure_future(ask(port, engine_module.COUNTS_TARGET))
         await rigs.until(lambda: rank.asked)
         await one.finish()
         status, _ = await asking
         assert status == 200
         assert await asyncio.wait_for(reader.read(), rigs.WAIT_S) == b''
         writer.close()
-        with pytest.raises(ports.EngineSilent):
-            await ask(port, engine_module.COUNTS)
+        with pytest.raises(ports.EngineUnavailable):
+            await ask(port, engine_module.COUNTS_TARGET)
         await rank.stop()
 
     asyncio.run(run())
@@ -175,19 +175,19 @@
         path.write_text(json.dumps(file))
         process = await asyncio.create_subprocess_exec(
             *PROGRAM,
-            env={**os.environ, settings.VARIABLE: str(path)},
+            env={**os.environ, settings.PATH_VARIABLE: str(path)},
             stdout=subprocess.PIPE,
         )
         try:
             async with asyncio.timeout(rigs.WAIT_S):
                 while True:
                     try:
-                        await ask(first, engine_module.COUNTS)
+                        await ask(first, engine_module.COUNTS_TARGET)
                         break
-                    except ports.EngineSilent:
+                    except ports.EngineUnavailable:
                         await asyncio.sleep(0.02)
             process.send_signal(signal.SIGHUP)
-            await ask(first, engine_module.COUNTS)
+            await ask(first, engine_module.COUNTS_TARGET)
             process.send_signal(signal.SIGTERM)
             output, _ = await asyncio.wait_for(
                 process.communicate(), rigs.WAIT_S
@@ -223,7 +223,7 @@
         path.write_text(json.dumps({**file, field: value}))
         ended = subprocess.run(
             PROGRAM,
-            env={**os.environ, settings.VARIABLE: str(path)},
+            env={**os.environ, settings.PATH_VARIABLE: str(path)},
             capture_output=True,
             text=True,
             timeout=30,
--- a/tests/unit/test_border.py
+++ b/tests/unit/test_request_validator.py
@@ -1,4 +1,4 @@
-"""Bad input gets a coded error that names the field and the way out."""
+"""Invalid requests are rejected with a code, the field and a remedy."""
 
 import json
 import typing
@@ -9,7 +9,7 @@
 
 from aspenfold._internal import exceptions
 from aspenfold._internal.models import fleet
-from aspenfold._internal.network import border
+from aspenfold._internal.network import request_validator
 
 Code = exceptions.Code
 
@@ -21,9 +21,9 @@
     body: bytes = b'{}',
     secret: str = fleets.SECRET,
     **headers: str,
-) -> border.RawRequest:
-    """Return a request; header names have underscores for hyphens."""
-    return border.RawRequest(
+) -> request_validator.RawRequest:
+    """Return a request; underscores in ``headers`` stand for hyphens."""
+    return request_validator.RawRequest(
         service=service,
         operation=operation,
         headers={
@@ -37,10 +37,10 @@
 
 
 @pytest.fixture
-def checks() -> border.Border:
-    """Return a border that knows the small fleet."""
-    result = border.Border()
-    result.use(fleet.Fleet.model_validate(fleets.document()))
+def validator() -> request_validator.RequestValidator:
+    """Return a validator that uses the small fleet."""
+    result = request_validator.RequestValidator()
+    result.set_fleet(fleet.Fleet.model_validate(fleets.document()))
     return result
 
 
@@ -71,15 +71,15 @@
         ),
     ],
 )
-def test_bad_request(
-    checks: border.Border,
+def test_invalid_request_is_rejected(
+    validator: request_validator.RequestValidator,
     changes: dict[str, typing.Any],
     code: Code,
     field: str,
 ) -> None:
-    """The error has a code, names the field and says what to do."""
+    """The error has the expected code and field, and a remedy."""
     with pytest.raises(exceptions.RequestError) as caught:
-        checks.call(raw(**changes))
+        validator.validate(raw(**changes))
     failure = caught.value.failure
     assert failure.code is code
     assert failure.field == field
@@ -87,33 +87,35 @@
     assert failure.outcome is exceptions.Outcome.NOT_RUN
 
 
-def test_a_caller_may_lower_its_priority_but_not_raise_it() -> None:
-    """The rule's priority is the most urgent that a caller gets."""
+def test_caller_can_lower_but_not_raise_its_priority() -> None:
+    """The rule's priority is the highest that a caller can get."""
     document = fleets.document(rules=[{'priority': 'generation'}])
-    checks = border.Border()
-    checks.use(fleet.Fleet.model_validate(document))
-    higher = checks.call(raw(aspenfold_priority='interactive'))
-    lower = checks.call(raw(aspenfold_priority='batch'))
+    validator = request_validator.RequestValidator()
+    validator.set_fleet(fleet.Fleet.model_validate(document))
+    higher = validator.validate(raw(aspenfold_priority='interactive'))
+    lower = validator.validate(raw(aspenfold_priority='batch'))
     assert higher.priority is fleet.Priority.GENERATION
     assert lower.priority is fleet.Priority.BATCH
 
 
-def test_no_rule() -> None:
-    """A call that no rule matches is refused with its own code."""
+def test_call_without_a_matching_rule_is_rejected() -> None:
+    """A call that no rule allows fails with NO_RULE."""
     document = fleets.document(
         rules=[{'service': 'llm', 'priority': 'generation'}]
     )
-    checks = border.Border()
-    checks.use(fleet.Fleet.model_validate(document))
+    validator = request_validator.RequestValidator()
+    validator.set_fleet(fleet.Fleet.model_validate(document))
     with pytest.raises(exceptions.RequestError) as caught:
-        checks.call(raw())
+        validator.validate(raw())
     assert caught.value.failure.code is Code.NO_RULE
 
 
-def test_model_names_the_service(checks: border.Border) -> None:
-    """Completion clients name the service as their model."""
+def test_model_field_names_the_service(
+    validator: request_validator.RequestValidator,
+) -> None:
+    """A completion request names the service in its ``model``."""
     body = json.dumps({'model': 'llm', 'prompt': 'x', 'stream': True})
-    call = checks.call(
+    call = validator.validate(
         raw(service='', operation='completions', body=body.encode())
     )
     assert call.service == 'llm'
