--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -14,10 +14,10 @@
 from aspenfold._internal.commands import output
 from aspenfold._internal import exceptions
 from aspenfold._internal.gateway import leadership
+from aspenfold._internal.gateway import peer_discovery
 from aspenfold._internal.gateway import plan as plan_module
 from aspenfold._internal.gateway import plan_index
 from aspenfold._internal.gateway import ports
-from aspenfold._internal.gateway import roster
 
 Plan = plan_module.Plan
 
@@ -280,7 +280,7 @@
     store = platform.store
     plans = await store.newest(platform.plan_topic)
     listings = await store.newest(platform.endpoint_topic)
-    hosts = await store.newest(roster.TOPIC)
+    hosts = await store.newest(peer_discovery.TOPIC)
     lease = await store.newest(leadership.LEASE_TOPIC)
     return {
         'plan': [
--- a/src/aspenfold/_internal/gateway/attempt.py
+++ b/src/aspenfold/_internal/gateway/attempt.py
@@ -16,7 +16,7 @@
 """How long to wait for an endpoint to accept: a cut link never does;
 the longest round trip between zones is 3 ms."""
 
-MAX_WHOLE_ANSWER = 4_194_304
+MAX_BUFFERED_BYTES = 4_194_304
 """Largest answer that is held until it is whole; as the body limit."""
 
 
@@ -177,12 +177,12 @@
         while (data := await connection.read_data()) is not None:
             parts.append(data)
             size += len(data)
-            if size > MAX_WHOLE_ANSWER:
+            if size > MAX_BUFFERED_BYTES:
                 return outcome.AttemptResult.LOST
         if self._history.head_delivered:
             # A resumed stream cannot go on with a failure's body.
             return outcome.AttemptResult.FAILED
-        self._call.buffered_answer = call_module.BufferedAnswer(
+        self._call.buffered_response = call_module.BufferedResponse(
             status=head.status_code,
             headers=list(head.headers),
             body=b''.join(parts),
@@ -197,20 +197,20 @@
         connection: http1_client.Connection,
     ) -> outcome.AttemptResult:
         """Pass events on, each as soon as it is whole."""
-        answer, cutter = self._call.answer, self._call.splitter
-        cutter.discard_partial_event()
+        response, splitter = self._call.response, self._call.splitter
+        splitter.discard_partial_event()
         while (data := await connection.read_data()) is not None:
-            whole = cutter.feed(data)
+            whole = splitter.feed(data)
             if whole:
                 self._begin_stream(head)
-                answer.write(whole)
-                await answer.drain()
-            if cutter.is_oversized:
+                response.write(whole)
+                await response.drain()
+            if splitter.is_oversized:
                 return outcome.AttemptResult.OVERSIZED
         self._begin_stream(head)
-        if cutter.partial_event:
-            answer.write(cutter.partial_event)
-        answer.end()
+        if splitter.partial_event:
+            response.write(splitter.partial_event)
+        response.end()
         return outcome.AttemptResult.ANSWERED
 
     def _begin_stream(self, head: http1_client.ResponseHead) -> None:
@@ -220,13 +220,13 @@
         self._core.outages.record_recovery(
             self._call.service, self._endpoint.group
         )
-        headers = self._core.forwarding.answer_headers(
+        headers = self._core.forwarding.response_headers(
             list(head.headers), length=None
         )
         self._core.metrics.latency(
             'first-event', self._call.organisation, self._call.age
         )
-        self._call.answer.start(head.status_code, headers)
+        self._call.response.start(head.status_code, headers)
 
     # -- what is learnt --------------------------------------------------
 
--- a/src/aspenfold/_internal/gateway/call.py
+++ b/src/aspenfold/_internal/gateway/call.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class BufferedAnswer:
+class BufferedResponse:
     """An endpoint's answer to a request that is no stream."""
 
     status: int
@@ -29,7 +29,7 @@
 
     clock: clock_module.Clock
     request: http1_server.Request
-    answer: http1_server.ResponseWriter
+    response: http1_server.ResponseWriter
     id: str
     deadline: datetime.datetime
     organisation: str = ''
@@ -37,7 +37,7 @@
     splitter: event_stream.EventSplitter = dataclasses.field(
         default_factory=event_stream.EventSplitter
     )
-    buffered_answer: BufferedAnswer | None = None
+    buffered_response: BufferedResponse | None = None
 
     @property
     def age(self) -> datetime.timedelta:
--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -56,7 +56,7 @@
         self._turns += 1
         whole = self._whole_at is None
         if self._whole_at is not None:
-            whole = now - self._whole_at >= sampling.GROUP_INTERVAL
+            whole = now - self._whole_at >= sampling.GROUP_COUNT_INTERVAL
         if whole:
             self._whole_at = now
         self._reading = asyncio.create_task(self._read(endpoints, whole))
@@ -107,9 +107,9 @@
         chosen = sampling.choose_ranks(
             endpoints,
             zone=self._zone,
-            free=free,
-            turn=self._turns,
-            whole=whole,
+            agent_only=free,
+            poll=self._turns,
+            all_zones=whole,
         )
         read = await asyncio.gather(
             *(
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -17,11 +17,11 @@
 from aspenfold._internal.network import http1_server
 from aspenfold._internal.observability import events
 
-UNTOLD_LEFT = datetime.timedelta(hours=1)
+DEFAULT_TIME_LEFT = datetime.timedelta(hours=1)
 """Stands for the wait of callers that do not tell theirs, or nonsense;
 the route's timeout is shorter."""
 
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request has not run."""
 
 Code = exceptions.Code
@@ -35,21 +35,21 @@
         *,
         core: core_module.Core,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
         self._core = core
         self._request = request
-        self._answer = answer
+        self._response = response
         self._tried: set[str] = set()
-        self._told_left = parse_time_left(
+        self._time_left = parse_time_left(
             request.header(core.header_names.time_left_ms).decode('latin-1')
         )
         self._call = call_module.Call(
             clock=core.clock,
             request=request,
-            answer=answer,
+            response=response,
             id=request.header(core.header_names.attempt_id).decode('latin-1'),
-            deadline=request.received_at + self._told_left,
+            deadline=request.received_at + self._time_left,
         )
         self.endpoint = ''
 
@@ -89,7 +89,7 @@
             self._refuse(Code.UNAUTHENTICATED, 'the API key is not known')
             return None
         self._call.service = self._core.choose_service(route)
-        left = min(route.timeout, self._told_left)
+        left = min(route.timeout, self._time_left)
         self._call.deadline = request.received_at + left
         if self._core.refusing:
             self._refuse(Code.DRAINING, 'this process is about to end')
@@ -210,10 +210,10 @@
     def _deliver(self, history: outcome.History) -> None:
         status = 200
         if not history.head_delivered:
-            held = self._call.buffered_answer
+            held = self._call.buffered_response
             assert held is not None
             status = held.status
-            if status in PROMISES_NOT_RUN:
+            if status in NOT_RUN_STATUSES:
                 # Without the endpoint's word that it did not run.
                 self._give_up(outcome.AttemptResult.FAILED)
                 return
@@ -224,14 +224,14 @@
         metrics.latency(kind, self._call.organisation, self._call.age)
         metrics.count('answers', str(status))
 
-    def _pass_on(self, held: call_module.BufferedAnswer) -> None:
-        headers = self._core.forwarding.answer_headers(
+    def _pass_on(self, held: call_module.BufferedResponse) -> None:
+        headers = self._core.forwarding.response_headers(
             held.headers, length=len(held.body)
         )
-        self._answer.start(held.status, headers)
+        self._response.start(held.status, headers)
         if held.body:
-            self._answer.write(held.body)
-        self._answer.end()
+            self._response.write(held.body)
+        self._response.end()
 
     def _end_without_endpoint(self, history: outcome.History) -> None:
         if history.head_delivered:
@@ -245,7 +245,7 @@
     def _refuse(self, code: Code, detail: str) -> None:
         failure = exceptions.Failure(code=code, detail=detail)
         wait = refusal.retry_after(code, self._call.remaining)
-        self._short_answer(failure, wait)
+        self._send_error(failure, wait)
 
     def _give_up(self, end: outcome.AttemptResult) -> None:
         code = Code.ENDPOINT_LOST
@@ -254,9 +254,9 @@
         failure = exceptions.Failure(
             code=code, detail=f'{self.endpoint}: {end.value}'
         )
-        self._short_answer(failure, None)
+        self._send_error(failure, None)
 
-    def _short_answer(
+    def _send_error(
         self,
         failure: exceptions.Failure,
         wait: datetime.timedelta | None,
@@ -270,9 +270,9 @@
             value = f'{wait.total_seconds():.3f}'.encode()
             headers.append((b'retry-after', value))
         status = refusal.status(failure.code)
-        self._answer.start(status, headers)
-        self._answer.write(body)
-        self._answer.end()
+        self._response.start(status, headers)
+        self._response.write(body)
+        self._response.end()
         self._core.metrics.count('refusals', str(int(failure.code)))
         self._finished(
             events.Event.CALL_FAILED,
@@ -282,7 +282,7 @@
         )
 
     def _break_off(self, end: outcome.AttemptResult) -> None:
-        self._answer.abort()
+        self._response.abort()
         self._core.metrics.count('broken_streams', end.value)
         self._finished(
             events.Event.CALL_FAILED,
@@ -331,7 +331,7 @@
     try:
         left = float(text)
     except ValueError:
-        return UNTOLD_LEFT
-    if not 0 <= left <= UNTOLD_LEFT / clock_module.MILLISECOND:
-        return UNTOLD_LEFT
+        return DEFAULT_TIME_LEFT
+    if not 0 <= left <= DEFAULT_TIME_LEFT / clock_module.MILLISECOND:
+        return DEFAULT_TIME_LEFT
     return datetime.timedelta(milliseconds=left)
--- a/src/aspenfold/_internal/gateway/forwarding.py
+++ b/src/aspenfold/_internal/gateway/forwarding.py
@@ -88,7 +88,7 @@
             headers.append((b'content-length', length))
         return headers
 
-    def answer_headers(
+    def response_headers(
         self, headers: Headers, *, length: int | None
     ) -> Headers:
         """Return the headers of an endpoint's answer for its caller."""
--- a/src/aspenfold/_internal/gateway/roster.py
+++ b/src/aspenfold/_internal/gateway/peer_discovery.py
@@ -28,7 +28,7 @@
 """Wait after a failed call; nothing depends on it."""
 
 
-class Roster:
+class PeerDiscovery:
     """Writes this gateway's address, and follows the others'."""
 
     def __init__(
@@ -38,80 +38,84 @@
         address: settings.TcpAddress,
         store: ports.Store,
         peers: peers_module.Peers,
-        rests: abc.Callable[[], bool],
+        is_passive: abc.Callable[[], bool],
         publish: abc.Callable[[relay.RelayedRecords], None],
     ) -> None:
-        """``rests`` says whether a peer gives the news."""
-        self._rests = rests
+        """``is_passive`` says whether a peer gives the news."""
+        self._is_passive = is_passive
         self._publish = publish
         self._host = host
         self._address = address
         self._store = store
         self._peers = peers
-        self._known: dict[str, settings.TcpAddress] = {}
-        self._end: int | None = None
+        self._addresses: dict[str, settings.TcpAddress] = {}
+        self._next_offset: int | None = None
 
     async def run(self) -> None:
         """Follow the topic for ever."""
         while True:
             try:
-                await self._turn()
+                await self._poll()
             except ports.HistoryTrimmed:
-                self._end = None
+                self._next_offset = None
             except ports.StoreUnavailable as exc:
                 events.emit(events.Event.ROSTER_UNSURE, error=str(exc)[:200])
                 await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _turn(self) -> None:
-        if self._end is None:
+    async def _poll(self) -> None:
+        if self._next_offset is None:
             self._read(await self._store.newest(TOPIC))
-        if self._known.get(self._host) != self._address:
+        if self._addresses.get(self._host) != self._address:
             value = str(self._address).encode()
             await self._store.put(TOPIC, self._host, value)
-            self._known[self._host] = self._address
+            self._addresses[self._host] = self._address
             # The others of a new system write now, too.
             await asyncio.sleep(MIN_READ_INTERVAL_S)
             self._read(await self._store.newest(TOPIC))
         await asyncio.sleep(MIN_READ_INTERVAL_S)
-        if self._rests():
+        if self._is_passive():
             return
-        assert self._end is not None
-        self._read(await self._store.read(TOPIC, self._end, READ_TIMEOUT))
+        assert self._next_offset is not None
+        self._read(
+            await self._store.read(TOPIC, self._next_offset, READ_TIMEOUT)
+        )
 
     def _read(self, page: ports.Page) -> None:
-        self._take(page)
+        self._apply_page(page)
         if page.records:
-            self._publish(self._news(page.records))
+            self._publish(self._relayed_records(page.records))
 
     def snapshot(self) -> relay.RelayedRecords:
         """Return all that is known, for a peer that begins to follow."""
         records = tuple(
             ports.Record(offset=0, key=host, value=str(address).encode())
-            for host, address in self._known.items()
+            for host, address in self._addresses.items()
         )
-        return self._news(records)
+        return self._relayed_records(records)
 
-    def _news(self, records: tuple[ports.Record, ...]) -> relay.RelayedRecords:
+    def _relayed_records(
+        self, records: tuple[ports.Record, ...]
+    ) -> relay.RelayedRecords:
         return relay.RelayedRecords(
-            topic=TOPIC, end=self._end or 0, records=records
+            topic=TOPIC, end=self._next_offset or 0, records=records
         )
 
-    def relayed(self, news: relay.RelayedRecords) -> None:
+    def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
         """Take what a peer has read."""
-        if news.topic == TOPIC and news.end >= (self._end or 0):
-            page = ports.Page(records=news.records, end=news.end)
-            self._take(page)
+        if relayed.topic == TOPIC and relayed.end >= (self._next_offset or 0):
+            page = ports.Page(records=relayed.records, end=relayed.end)
+            self._apply_page(page)
 
-    def _take(self, page: ports.Page) -> None:
+    def _apply_page(self, page: ports.Page) -> None:
         for record in page.records:
             address = _parse(record.value)
             if address is None:
-                self._known.pop(record.key, None)
+                self._addresses.pop(record.key, None)
             else:
-                self._known[record.key] = address
+                self._addresses[record.key] = address
         ends = [record.offset + 1 for record in page.records]
-        self._end = max([*ends, page.end, self._end or 0])
-        self._peers.set_addresses(dict(self._known))
+        self._next_offset = max([*ends, page.end, self._next_offset or 0])
+        self._peers.set_addresses(dict(self._addresses))
 
 
 def _parse(value: bytes | None) -> settings.TcpAddress | None:
--- a/src/aspenfold/_internal/gateway/sampling.py
+++ b/src/aspenfold/_internal/gateway/sampling.py
@@ -24,11 +24,11 @@
 reckoning."""
 
 
-ZONE_INTERVAL = datetime.timedelta(milliseconds=100)
+ZONE_COUNT_INTERVAL = datetime.timedelta(milliseconds=100)
 """Pace of reading the counts of the leader's own zone: about the time of a
 pass, so that new demand is seen within one."""
 
-GROUP_INTERVAL = datetime.timedelta(milliseconds=300)
+GROUP_COUNT_INTERVAL = datetime.timedelta(milliseconds=300)
 """The same of all ranks, and of a group that has none in the leader's zone:
 bytes between zones are paid for.  Eight ranks of each of two such groups,
 read each 100 ms, would be 0.09 GB in 55 s at some 10 KB an answer."""
@@ -39,17 +39,17 @@
 ) -> datetime.timedelta:
     """Return the pace of reading counts through agents."""
     if any(endpoint.zone == zone for endpoint in endpoints.values()):
-        return ZONE_INTERVAL
-    return GROUP_INTERVAL
+        return ZONE_COUNT_INTERVAL
+    return GROUP_COUNT_INTERVAL
 
 
 def choose_ranks(
     endpoints: abc.Mapping[int, directory.Endpoint],
     *,
     zone: str,
-    free: bool,
-    turn: int,
-    whole: bool = False,
+    agent_only: bool,
+    poll: int,
+    all_zones: bool = False,
 ) -> list[int]:
     """Return the ranks to read in this ``turn``, by their number.
 
@@ -59,11 +59,11 @@
     counts.
     """
     every = sorted(endpoints)
-    if not free:
-        return [every[turn % min(MAX_DIRECT_RANKS, len(every))]]
+    if not agent_only:
+        return [every[poll % min(MAX_DIRECT_RANKS, len(every))]]
     near = [rank for rank in every if endpoints[rank].zone == zone]
     near = near[:MAX_AGENT_RANKS]
-    if near and not whole:
+    if near and not all_zones:
         return near
     far = [rank for rank in every if endpoints[rank].zone != zone]
     return sorted(near + far[:MAX_REMOTE_ZONE_RANKS])
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -11,12 +11,12 @@
 from aspenfold._internal.gateway import header_names as header_names_module
 from aspenfold._internal.gateway import leadership as leadership_module
 from aspenfold._internal.gateway import outage
+from aspenfold._internal.gateway import peer_discovery as peer_discovery_module
 from aspenfold._internal.gateway import peers as peers_module
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import rank_client
 from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import roster as roster_module
 from aspenfold._internal.gateway import settings
 from aspenfold._internal.gateway import store_feeds as feeds_module
 from aspenfold._internal.kernel import clock as clock_module
@@ -108,12 +108,12 @@
             rng=random.Random(secrets.randbits(128)),
             is_passive=self._is_passive,
         )
-        self._roster = roster_module.Roster(
+        self._peer_discovery = peer_discovery_module.PeerDiscovery(
             host=cfg.name,
             address=settings.TcpAddress(host=cfg.address, port=cfg.peer_port),
             store=platform.store,
             peers=self._peers,
-            rests=self._is_passive,
+            is_passive=self._is_passive,
             publish=self._publisher.publish,
         )
         self._tasks = tasks.Tasks()
@@ -167,7 +167,7 @@
         """Listen, and begin to learn the plan and the endpoints."""
         self._tasks.spawn(self._feeds.plan.run())
         self._tasks.spawn(self._feeds.endpoints.run())
-        self._tasks.spawn(self._roster.run())
+        self._tasks.spawn(self._peer_discovery.run())
         self._tasks.spawn(self._tell_peers())
         self._tasks.spawn(self._follower.run())
         self._tasks.spawn(self._groups.run())
@@ -225,11 +225,11 @@
         return self._selection.is_passive(self._clock.now())
 
     def _snapshot(self) -> list[relay.RelayedRecords]:
-        return [self._roster.snapshot(), *self._feeds.snapshot()]
+        return [self._peer_discovery.snapshot(), *self._feeds.snapshot()]
 
     def _take_news(self, news: relay.RelayedRecords) -> None:
         self._feeds.apply_relayed(news)
-        self._roster.relayed(news)
+        self._peer_discovery.apply_relayed(news)
 
     def _reload(self) -> None:
         """SIGHUP: all that can change is read from the store anyway."""
@@ -245,7 +245,7 @@
         self._in_flight += 1
         try:
             exchange = exchange_module.Exchange(
-                core=self._core, request=request, answer=answer
+                core=self._core, request=request, response=answer
             )
             await exchange.run()
         finally:
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -262,14 +262,16 @@
     group = {n: endpoint(str(n), zone) for n, zone in zones.items()}
 
     def chosen(zone: str, free: bool, turn: int) -> list[int]:
-        return sampling.choose_ranks(group, zone=zone, free=free, turn=turn)
+        return sampling.choose_ranks(
+            group, zone=zone, agent_only=free, poll=turn
+        )
 
     assert chosen('b', True, 0) == chosen('b', True, 1) == [1, 3]
     assert chosen('c', True, 0) == [0, 1, 2, 3]
     paid = [chosen('b', False, turn) for turn in range(4)]
     assert paid == [[0], [1], [0], [1]]
     whole = sampling.choose_ranks(
-        group, zone='b', free=True, turn=0, whole=True
+        group, zone='b', agent_only=True, poll=0, all_zones=True
     )
     assert whole == [0, 1, 2, 3]
 
@@ -277,9 +279,9 @@
 def test_a_group_of_other_zones_is_read_less_often() -> None:
     """Load pattern: a group a zone, all led from one of them."""
     group = {n: endpoint(str(n), 'b') for n in range(24)}
-    assert sampling.count_interval(group, 'b') == sampling.ZONE_INTERVAL
-    assert sampling.count_interval(group, 'a') == sampling.GROUP_INTERVAL
-    read = sampling.choose_ranks(group, zone='a', free=True, turn=0)
+    assert sampling.count_interval(group, 'b') == sampling.ZONE_COUNT_INTERVAL
+    assert sampling.count_interval(group, 'a') == sampling.GROUP_COUNT_INTERVAL
+    read = sampling.choose_ranks(group, zone='a', agent_only=True, poll=0)
     assert len(read) == sampling.MAX_REMOTE_ZONE_RANKS
     engine = FakeEngine(AGENT, ENGINE)
     found, clock = client(engine)
