--- a/src/aspenfold/_internal/leases/__init__.py
+++ b/src/aspenfold/_internal/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases recorded in the log; no I/O here."""
+"""Leases that are recorded in the log or a topic; performs no I/O."""
--- a/src/aspenfold/_internal/leases/election.py
+++ b/src/aspenfold/_internal/leases/election.py
@@ -1,12 +1,12 @@
-"""Who leads, by conditional appends to a topic of the store.
+"""Leader election by conditional appends to the lease topic.
 
-A lease only keeps several processes from doing one thing at a time;
-what its holder orders is fenced by its token.  Lapses are judged by
-each process's own steady clock, from when it saw the last record.  A
-holder that cannot reach the store goes on: others cannot take the lease
-then, and if they can, their token is higher.
+The lease only avoids duplicate work; orders of its holder carry a
+fencing token, so that a stale holder does no harm.  Each process measures
+expiry with its own monotonic clock, from when it saw the last record.  A
+holder that cannot reach the store keeps leading: either nobody else can
+acquire the lease, or whoever does gets a higher token.
 
-The machine does no I/O: it is told what was read and appended.
+This module does no I/O; the caller reports what it read and appended.
 """
 
 import dataclasses
@@ -14,23 +14,22 @@
 import random
 
 RENEW_INTERVAL = datetime.timedelta(seconds=2)
-"""A third of the lapse, so that one lost renewal costs nothing."""
+"""A third of ``LEASE_DURATION``, so that one renewal may be lost."""
 
 LEASE_DURATION = datetime.timedelta(seconds=6)
-"""A lease that was not renewed for so long is free.  Maps shift every
-few seconds at most; a leader's end is told by a release anyway."""
+"""A lease that is not renewed for this long has expired."""
 
 MAX_ACQUIRE_DELAY = datetime.timedelta(milliseconds=200)
-"""Spread of those who ask for a free lease: most see it taken first.
-The store's answer takes 4 ms, and few contest."""
+"""Bound of the random delay before a free lease is acquired, which avoids
+append conflicts."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRecord:
-    """The last record: ``holder`` is empty if it was released.
+    """A record of the lease topic, found at ``offset``.
 
-    ``holder`` names a process on ``host``, ``token`` is the offset at
-    which its term began.
+    ``holder`` names a process on ``host``; it is empty if the lease was
+    released.  ``token`` is the fencing token of its term.
     """
 
     holder: str
@@ -41,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AppendRequest:
-    """A record to append where the topic ends at ``end``."""
+    """A record to append, only if the topic ends at ``expected_offset``."""
 
     holder: str
     host: str
@@ -50,12 +49,10 @@
 
 
 class LeaseElection:
-    """One process's part in the contest for one lease.
-
-    ``name`` is the process's alone, and another after a restart.
-    """
+    """Takes part in the election for one lease on behalf of one process."""
 
     def __init__(self, *, name: str, host: str, rng: random.Random) -> None:
+        """``name`` must be unique to the process; a restart needs another."""
         self._name = name
         self._host = host
         self._rng = rng
@@ -66,7 +63,7 @@
 
     @property
     def token(self) -> int:
-        """This process's token, 0 unless it leads."""
+        """This process's fencing token, 0 unless it holds the lease."""
         record = self._record
         if record is None or record.holder != self._name:
             return 0
@@ -74,13 +71,16 @@
 
     @property
     def topic_end(self) -> int:
-        """Where the topic ends, as far as is known."""
+        """The highest known end offset of the topic."""
         return self._topic_end
 
     def on_read(
         self, record: LeaseRecord | None, end: int, now: datetime.datetime
     ) -> None:
-        """The topic was read up to ``end``; None: no newer record."""
+        """Take in a read of the topic up to ``end``.
+
+        ``record`` is the newest record found, None if there was none.
+        """
         self._topic_end = max(self._topic_end, end)
         known = self._record
         if record is not None and (
@@ -93,11 +93,11 @@
             self._record_seen_at = now
 
     def on_append_conflict(self, end: int) -> None:
-        """An append found the topic longer than was known."""
+        """Handle an append that failed since the topic ends at ``end``."""
         self._topic_end = max(self._topic_end, end)
 
     def step_down(self) -> None:
-        """A higher token was met: another process leads."""
+        """Stop leading, after a rank reported a higher token."""
         self._record = None
 
     def next_append(
@@ -105,8 +105,8 @@
     ) -> AppendRequest | None:
         """Return the record to append now, None if there is none.
 
-        ``holder_silent`` says that the holder used to be heard and is not any
-        more.  If it lives, its orders are fenced by the new token.
+        With ``holder_silent``, the holder is taken to be gone before its
+        lease expires.  If it is alive, the new token fences its orders.
         """
         if self.next_append_in(
             now, holder_silent=holder_silent
@@ -114,13 +114,16 @@
             return None
         if self.token:
             return self._request(self._name, self.token)
-        # The token is the offset that the record will have, from 1.
+        # One more than the record's offset: 0 means "no token".
         return self._request(self._name, self._topic_end + 1)
 
     def next_append_in(
         self, now: datetime.datetime, *, holder_silent: bool = False
     ) -> datetime.timedelta:
-        """Return how long there is nothing to append; see :meth:`wish`."""
+        """Return the time until :meth:`next_append` has a record.
+
+        Zero or less means that it has one now.
+        """
         seen = self._record_seen_at
         if seen is None:
             return RENEW_INTERVAL
@@ -130,10 +133,10 @@
         return seen + wait - now
 
     def _free_after(self, holder_silent: bool) -> datetime.timedelta:
-        """Return how long after its last record the lease is free."""
+        """Return how long after its last record to acquire the lease."""
         free = holder_silent or self._record is None or not self._record.holder
         if self._record is not None and self._record.host == self._host:
-            # Held by the process that ran here before this one.
+            # Held by this host's previous process, which has ended.
             free = True
         return (
             self._acquire_delay
@@ -142,7 +145,7 @@
         )
 
     def release(self) -> AppendRequest | None:
-        """Return the record that gives the lease up."""
+        """Return the record that releases the lease, None if not held."""
         if not self.token:
             return None
         return self._request('', self.token)
--- a/src/aspenfold/_internal/leases/lease_client.py
+++ b/src/aspenfold/_internal/leases/lease_client.py
@@ -1,8 +1,8 @@
-"""Decides when to ask the log for a lease.
+"""Decides when to request a lease in the log.
 
-A lease only keeps several entries from doing one thing at a time; what
-its holder writes is fenced by its token.  So it may safely be judged by
-the local clock, from the moment at which this process saw the grant.
+A lease only avoids duplicate work; records of its holder carry a fencing
+token.  So expiry may be measured by the local clock, from when this
+process first saw the grant.
 """
 
 import datetime
@@ -13,15 +13,19 @@
 
 
 class LeaseClient:
-    """Watches grants and asks for leases that are free or lapsed."""
+    """Requests leases that are free or expired, for one holder."""
 
     def __init__(self, *, holder: str) -> None:
         self._holder = holder
-        self._seen: dict[str, tuple[int, datetime.datetime]] = {}
-        self._asked: dict[str, datetime.datetime] = {}
+        # For each lease the last token, and when it was first seen.
+        self._first_seen: dict[str, tuple[int, datetime.datetime]] = {}
+        self._requested_at: dict[str, datetime.datetime] = {}
 
     def held_token(self, state: state_module.FleetState, name: str) -> int:
-        """Return the token if this process was last granted ``name``."""
+        """Return the fencing token of the lease ``name``, 0 if not held.
+
+        An expired lease counts as held until it is granted to another.
+        """
         lease = state.leases.get(name)
         if lease is None or lease.holder != self._holder:
             return 0
@@ -35,14 +39,18 @@
         record_id: str,
         now: datetime.datetime,
     ) -> records.LeaseGrant | None:
-        """Return the record to append, None while it must wait."""
+        """Return the record that requests the lease ``name``.
+
+        Return None while the lease is held, or while an earlier request
+        is younger than ``ttl``.
+        """
         lease = state.leases.get(name)
-        if lease is not None and not self._lapsed(name, lease, now):
+        if lease is not None and not self._has_expired(name, lease, now):
             return None
-        asked = self._asked.get(name)
-        if asked is not None and now < asked + ttl:
+        requested_at = self._requested_at.get(name)
+        if requested_at is not None and now < requested_at + ttl:
             return None
-        self._asked[name] = now
+        self._requested_at[name] = now
         return records.LeaseGrant(
             id=record_id,
             author=self._holder,
@@ -53,11 +61,11 @@
             prior_token=lease.token if lease else 0,
         )
 
-    def _lapsed(
+    def _has_expired(
         self, name: str, lease: state_module.Lease, now: datetime.datetime
     ) -> bool:
-        token, since = self._seen.get(name, (0, now))
+        token, seen_at = self._first_seen.get(name, (0, now))
         if token != lease.token:
-            self._seen[name] = (lease.token, now)
+            self._first_seen[name] = (lease.token, now)
             return False
-        return now >= since + lease.ttl_ms * clock.MILLISECOND
+        return now >= seen_at + lease.ttl_ms * clock.MILLISECOND
--- a/src/aspenfold/_internal/leases/leased_tasks.py
+++ b/src/aspenfold/_internal/leases/leased_tasks.py
@@ -1,7 +1,8 @@
-"""Duties that one entry at a time performs under a lease.
+"""Tasks that one entry at a time performs under a lease.
 
-Planning expert maps and writing snapshots: each tick returns at most
-one record a duty, and the fold of the log shows whether it took effect.
+These are planning a group's expert map and writing snapshots of the
+fleet's state.  Each tick returns at most one record per task; whether a
+record was accepted shows when the log is read.
 """
 
 from collections import abc
@@ -21,25 +22,26 @@
 LEASE_TTL = datetime.timedelta(seconds=3)
 
 RECORDS_PER_SNAPSHOT = 200
-"""Records between two snapshots."""
+"""A snapshot is written after this many records, if not due earlier."""
 
 PLAN_INTERVAL = datetime.timedelta(seconds=10)
-"""Least time between two plans of a group by one planner."""
+"""Minimum time between two plans of one group by this process."""
 
 SKEW_HYSTERESIS_RATIO = 1.02
-"""How far over its bound skew must be before a new plan is made."""
+"""Ratio of skew to its bound above which a new plan is made."""
 
 PLUGINS = (descent, sticky)
-"""Importing this module registered its planners."""
+"""Planners that are registered when this module is imported."""
 
 REWRITE_DELAY = datetime.timedelta(seconds=1)
-"""Wait for an own record to be folded before it is written again."""
+"""How long to wait for a written record to appear in the log before
+writing it again."""
 
 RECORD_ID_BITS = 96
 
 
 class LeasedTasks:
-    """Decides which records this entry writes on its own account."""
+    """Decides which map plans, snapshots and lease requests to append."""
 
     def __init__(
         self,
@@ -50,15 +52,15 @@
     ) -> None:
         self._name = name
         self._rng = rng
-        self._interval = snapshot_interval
+        self._snapshot_interval = snapshot_interval
         self._lease_client = lease_client.LeaseClient(holder=name)
         self._snapshot_offset = 0
         self._snapshot_at: datetime.datetime | None = None
-        self._planned: dict[str, datetime.datetime] = {}
-        self._wrote: dict[str, datetime.datetime] = {}
+        self._planned_at: dict[str, datetime.datetime] = {}
+        self._written_at: dict[str, datetime.datetime] = {}
 
     def on_snapshot(self, offset: int, now: datetime.datetime) -> None:
-        """A snapshot stands at ``offset``."""
+        """Record that the log has a snapshot at ``offset``."""
         self._snapshot_offset = offset
         self._snapshot_at = now
 
@@ -70,8 +72,8 @@
     ) -> list[records.Record]:
         """Return the records to append now.
 
-        ``loads`` gives each group's load by expert, as its engines
-        report it; a group without one keeps its map.
+        ``loads`` maps each group to its load per expert, as reported by
+        its engines.  A group without loads keeps its map.
         """
         fleet = state.fleet
         if fleet is None:
@@ -94,19 +96,19 @@
         load: abc.Sequence[float],
         now: datetime.datetime,
     ) -> records.Record | None:
-        known = state.maps.get(group.name)
-        current = known.placement if known else []
+        map_state = state.maps.get(group.name)
+        current = map_state.placement if map_state else []
         reason = self._reason_to_plan(group, current, load, now)
         if not reason:
             return None
         lease = reducer.MAP_LEASE_PREFIX + group.name
         token = self._lease_client.held_token(state, lease)
         if not token:
-            return self._ask(state, lease, now)
-        if not self._due(lease, now):
+            return self._request_lease(state, lease, now)
+        if not self._is_write_due(lease, now):
             return None
         placement = plan(group, current, load)
-        self._planned[group.name] = now
+        self._planned_at[group.name] = now
         if placement == current:
             return None
         return records.MapPlan(
@@ -126,12 +128,13 @@
         load: abc.Sequence[float],
         now: datetime.datetime,
     ) -> str:
+        """Return why to plan a new map, empty if there is no reason."""
         if not _fits(group, current):
-            return 'the group has no map of its size'
+            return 'the map does not match the number of ranks and experts'
         if len(load) != group.experts:
             return ''
-        planned = self._planned.get(group.name)
-        if planned is not None and now < planned + PLAN_INTERVAL:
+        planned_at = self._planned_at.get(group.name)
+        if planned_at is not None and now < planned_at + PLAN_INTERVAL:
             return ''
         skew = planner.skew(current, load)
         if skew <= group.price.skew_bound * SKEW_HYSTERESIS_RATIO:
@@ -143,15 +146,15 @@
     ) -> records.Record | None:
         if self._snapshot_at is None:
             self._snapshot_at = now
-        fresh = (
+        is_recent = (
             state.next_offset - self._snapshot_offset < RECORDS_PER_SNAPSHOT
         )
-        if fresh and now < self._snapshot_at + self._interval:
+        if is_recent and now < self._snapshot_at + self._snapshot_interval:
             return None
         token = self._lease_client.held_token(state, reducer.SNAPSHOT_LEASE)
         if not token:
-            return self._ask(state, reducer.SNAPSHOT_LEASE, now)
-        if not self._due(reducer.SNAPSHOT_LEASE, now):
+            return self._request_lease(state, reducer.SNAPSHOT_LEASE, now)
+        if not self._is_write_due(reducer.SNAPSHOT_LEASE, now):
             return None
         return records.Snapshot(
             id=self._new_id(),
@@ -162,7 +165,7 @@
             state=records.StateDocument.model_validate(state.to_json()),
         )
 
-    def _ask(
+    def _request_lease(
         self,
         state: state_module.FleetState,
         lease: str,
@@ -172,11 +175,11 @@
             state, lease, LEASE_TTL, self._new_id(), now
         )
 
-    def _due(self, name: str, now: datetime.datetime) -> bool:
-        wrote = self._wrote.get(name)
-        if wrote is not None and now < wrote + REWRITE_DELAY:
+    def _is_write_due(self, lease: str, now: datetime.datetime) -> bool:
+        written_at = self._written_at.get(lease)
+        if written_at is not None and now < written_at + REWRITE_DELAY:
             return False
-        self._wrote[name] = now
+        self._written_at[lease] = now
         return True
 
     def _new_id(self) -> str:
@@ -188,9 +191,10 @@
     current: planner.Placement,
     load: abc.Sequence[float],
 ) -> planner.Placement:
-    """Return a placement by the group's planner.
+    """Return the placement that the group's planner chooses.
 
-    Without a load all experts count as equally popular.
+    ``load`` has one value per expert; with any other length all experts
+    count as equally loaded.
     """
     shape = planner.Shape(
         ranks=group.ranks,
@@ -206,5 +210,6 @@
 
 
 def _fits(group: fleet_model.Group, placement: list[list[int]]) -> bool:
-    held = {expert for experts in placement for expert in experts}
-    return len(placement) == group.ranks and len(held) == group.experts
+    """Return whether a placement has all ranks and all experts."""
+    placed = {expert for experts in placement for expert in experts}
+    return len(placement) == group.ranks and len(placed) == group.experts
