--- a/src/aspenfold/_internal/gateway/endpoint_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -1,7 +1,7 @@
-"""Reads the endpoints' list of the store at a pace.
+"""Reads the store's list of endpoints by polling.
 
-Each endpoint writes there every second or so, and a waiting read would
-return at each of these writes.
+Each endpoint writes its record about once a second, so that a waiting read
+would return for every write.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 from aspenfold._internal.observability import events
 
 POLL_INTERVAL = datetime.timedelta(milliseconds=900)
-"""Pace of the list's reads.  An endpoint may be sent to for 2 s after
-its leaving was accepted; this leaves a second for a lost read."""
+"""Requests must stop within 2 s after an endpoint left; this leaves time to
+repeat a failed read."""
 
 MIN_RETRY_DELAY = datetime.timedelta(milliseconds=150)
-"""Wait after a failed call, doubled each time up to a limit."""
+"""Delay after the first failed call, doubled for each further one."""
 
 MAX_REMEMBERED_OFFSETS = 20_000
-"""Endpoints whose last offset is kept: over the 12,000 aimed for."""
+"""Maximum number of endpoints whose last offset is kept."""
 
 
 class EndpointFeed:
-    """Keeps the directory up to date while this gateway is to read."""
+    """Keeps the directory of endpoints up to date."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         health: store_health.StoreHealth,
         publish: abc.Callable[[relay.RelayedRecords | None], None],
     ) -> None:
-        """``publish`` passes on what was read here."""
+        """``publish`` sends what this gateway read to its followers."""
         self._platform = platform
         self._store = platform.store
         self._directory = directory
@@ -48,25 +48,25 @@
         self._selection = selection
         self._health = health
         self._publish = publish
-        self._next: int | None = None
-        # The newest offset of each key, also of removed ones.
-        self._listed_at: dict[str, int] = {}
+        self._next_offset: int | None = None
+        # The newest offset of each key, including removed ones.
+        self._last_offsets: dict[str, int] = {}
         self._entries: dict[str, ports.Record] = {}
-        # What the current reading brought, for followers.
+        # What the current poll found, for followers.
         self._changed: list[ports.Record] = []
         self._absent: list[str] = []
         self._failures = 0
         self._read_at: datetime.datetime | None = None
 
     async def run(self) -> None:
-        """Read the list for ever."""
+        """Poll the list while the read mode asks for it, until cancelled."""
         while True:
-            self.settle()
-            pace = self._selection.read_mode(self._clock.now())
-            if pace is selection_module.ReadMode.NONE:
+            self.remove_missing()
+            mode = self._selection.read_mode(self._clock.now())
+            if mode is selection_module.ReadMode.NONE:
                 await asyncio.sleep(store_health.IDLE_POLL_INTERVAL_S)
                 continue
-            wait = POLL_INTERVAL
+            delay = POLL_INTERVAL
             try:
                 await self.poll()
                 self.publish_changes()
@@ -74,19 +74,19 @@
                 self._health.on_failure('list', exc)
                 self._store.reset_connections()
                 limit = self._selection.max_retry_delay(self._clock.now())
-                wait = min(
+                delay = min(
                     limit, MIN_RETRY_DELAY * 2 ** min(self._failures, 5)
                 )
                 self._failures += 1
-            await asyncio.sleep(wait.total_seconds())
+            await asyncio.sleep(delay.total_seconds())
 
     def age(self) -> datetime.timedelta | None:
-        """Return the age of what is known of endpoints, None for none."""
-        known = [t for t in (self._read_at, self._selection.relayed_at) if t]
-        return self._clock.now() - max(known) if known else None
+        """Return the age of the endpoint data, None if there is none."""
+        times = [t for t in (self._read_at, self._selection.relayed_at) if t]
+        return self._clock.now() - max(times) if times else None
 
     def publish_changes(self) -> None:
-        """Pass on what the reading brought, or that it brought nothing."""
+        """Publish what the last poll found, or a keepalive."""
         self._failures = 0
         self._read_at = self._clock.now()
         changed, self._changed = self._changed, []
@@ -97,53 +97,56 @@
         self._publish(
             relay.RelayedRecords(
                 topic=self._platform.endpoint_topic,
-                end=self._next or 0,
+                end=self._next_offset or 0,
                 records=tuple(changed),
                 absent=tuple(absent),
             )
         )
 
     async def poll(self) -> None:
-        """Read the list once: what is new, or all after a trim."""
+        """Read new records, or all of them after a trim.
+
+        Raises ``ports.StoreUnavailable``.
+        """
         topic = self._platform.endpoint_topic
-        if self._next is None or self._health.must_reread():
-            self._take_all(await self._store.newest(topic))
+        if self._next_offset is None or self._health.must_reread():
+            self._apply_snapshot(await self._store.newest(topic))
             return
         try:
             page = await self._store.read(
-                topic, self._next, datetime.timedelta(0)
+                topic, self._next_offset, datetime.timedelta(0)
             )
         except ports.HistoryTrimmed:
             self._health.on_history_trimmed('list')
-            self._take_all(await self._store.newest(topic))
+            self._apply_snapshot(await self._store.newest(topic))
             return
         self._health.on_success()
         for record in page.records:
-            self._take_listing(record)
+            self._apply_record(record)
         if page.records:
             last = page.records[-1].offset + 1
-            self._next = max(self._next, last)
+            self._next_offset = max(self._next_offset, last)
 
-    def _take_all(self, page: ports.Page) -> None:
+    def _apply_snapshot(self, page: ports.Page) -> None:
         self._health.on_success()
-        if self._next is not None and page.end < self._next:
-            # An old reading: what it lacks may have come since.
+        if self._next_offset is not None and page.end < self._next_offset:
+            # A stale read: missing entries may have been added since.
             for record in page.records:
-                self._take_listing(record)
+                self._apply_record(record)
             return
         now = self._clock.now()
-        self._next = page.end
+        self._next_offset = page.end
         for record in page.records:
-            self._take_listing(record)
+            self._apply_record(record)
         present = {record.key for record in page.records}
         for name in self._directory.names():
             if name not in present:
                 self._remove(name, now)
 
-    def _take_listing(self, record: ports.Record) -> None:
-        if record.offset <= self._listed_at.get(record.key, -1):
+    def _apply_record(self, record: ports.Record) -> None:
+        if record.offset <= self._last_offsets.get(record.key, -1):
             return
-        self._remember(record)
+        self._remember_offset(record)
         if record.value is None:
             self._remove(record.key, self._clock.now())
             return
@@ -169,68 +172,70 @@
                 offset=record.offset,
             )
 
-    def _remember(self, record: ports.Record) -> None:
-        """Keep the offset, also of a removal: old readings may follow."""
-        self._listed_at[record.key] = record.offset
-        if len(self._listed_at) > MAX_REMEMBERED_OFFSETS:
-            oldest = min(self._listed_at, key=self._listed_at.__getitem__)
-            del self._listed_at[oldest]
+    def _remember_offset(self, record: ports.Record) -> None:
+        """Keep the record's offset, so that stale reads can be ignored."""
+        self._last_offsets[record.key] = record.offset
+        if len(self._last_offsets) > MAX_REMEMBERED_OFFSETS:
+            oldest = min(
+                self._last_offsets, key=self._last_offsets.__getitem__
+            )
+            del self._last_offsets[oldest]
 
     def _remove(self, name: str, now: datetime.datetime) -> None:
-        gone = self._directory.removed(
+        is_removed = self._directory.removed(
             name, now, store_sound=self._health.is_stable(now)
         )
-        if gone:
-            self._gone(name)
+        if is_removed:
+            self._on_removed(name)
 
-    def _gone(self, name: str) -> None:
+    def _on_removed(self, name: str) -> None:
         self._entries.pop(name, None)
         self._absent.append(name)
-        # An old reading does not bring it back.
-        last = (self._next or 0) - 1
-        self._listed_at[name] = max(self._listed_at.get(name, -1), last)
+        # Stale reads must not add it again.
+        last = (self._next_offset or 0) - 1
+        self._last_offsets[name] = max(self._last_offsets.get(name, -1), last)
         events.emit(events.Event.ENDPOINT_GONE, endpoint=name)
 
-    def settle(self) -> None:
-        """Forget endpoints that did not return with the store."""
+    def remove_missing(self) -> None:
+        """Remove endpoints that are still missing after a store outage."""
         if self._health.lost or self._health.failed_at is None:
             return
         lost = self._directory.settle(
             self._clock.now(), self._health.failed_at
         )
         for name in lost:
-            self._gone(name)
-
-    # -- peers -----------------------------------------------------------
+            self._on_removed(name)
 
     def snapshot(self) -> relay.RelayedRecords | None:
-        """Return the whole list for a peer, None before the first."""
-        if self._next is None:
+        """Return the complete list for a new follower, None before a read."""
+        if self._next_offset is None:
             return None
         return relay.RelayedRecords(
             topic=self._platform.endpoint_topic,
-            end=self._next,
+            end=self._next_offset,
             records=tuple(self._entries.values()),
             whole=True,
         )
 
     def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
-        """Take what a peer has read; older relayed changes nothing."""
+        """Apply records that a reader sent; older ones are ignored."""
         for record in relayed.records:
-            self._take_listing(record)
-        known = self._next or 0
-        gone = relayed.absent
-        if relayed.whole and relayed.end >= known:
+            self._apply_record(record)
+        next_offset = self._next_offset or 0
+        removed_names = relayed.absent
+        if relayed.whole and relayed.end >= next_offset:
             present = {record.key for record in relayed.records}
             names = self._directory.names()
-            gone = tuple(name for name in names if name not in present)
-        for name in gone:
-            # The peer has waited where the store was away.
+            removed_names = tuple(
+                name for name in names if name not in present
+            )
+        for name in removed_names:
+            # The reader already waited for entries missing after an outage.
             if self._directory.removed(
                 name, self._clock.now(), store_sound=True
             ):
-                self._gone(name)
-        self._next = max(known, relayed.end)
-        # Only what is read here is passed on.
+                self._on_removed(name)
+        self._next_offset = max(next_offset, relayed.end)
+        # Only records that this gateway read are published.
         self._changed.clear()
         self._absent.clear()
--- a/src/aspenfold/_internal/gateway/reader_selection.py
+++ b/src/aspenfold/_internal/gateway/reader_selection.py
@@ -1,16 +1,14 @@
-"""Where a gateway learns the store's news: from the store or a peer.
+"""Decides whether a gateway reads the store or follows a reader.
 
-Each call of the store is paid for, and each gateway that reads it by
-itself sees the same.  So in each availability zone one gateway reads,
-and the others follow it.  There is no election: a gateway that reads
-says so in its datagrams, and gives reading up once it follows another
-that goes before it.  Whoever loses what it follows reads by itself at
-once, so nothing ever waits for a peer.
+Store calls cost money, and all gateways read the same records.  So one
+gateway per availability zone reads and the others follow it.  There is no
+election: a reader says so in its peer updates, and stops reading once it
+follows a reader of its zone whose host name sorts before its own.  A
+follower that loses its reader reads the store at once.
 
-A gateway that the store turns away follows any that reads, in whatever
-zone.
+A gateway that cannot reach the store follows any reader, in any zone.
 
-Decisions only: no I/O, no time of its own.
+This module does no I/O and reads no clock.
 """
 
 import dataclasses
@@ -18,35 +16,35 @@
 import enum
 
 PEER_TIMEOUT = datetime.timedelta(seconds=2)
-"""A peer not heard for so long is not followed anew: twice the interval
-of its datagrams at rest."""
+"""A peer without an update for this long is not followed: twice the interval
+of its updates when idle."""
 
 RELAY_TIMEOUT = datetime.timedelta(milliseconds=1_300)
-"""News of a peer that reads each 0.9 s is late from here.  An endpoint
-may be sent to for 2 s after its leaving was accepted: 0.7 s are left to
-read it from the store."""
+"""A follower that receives nothing for this long reads the store itself.  A
+reader polls every 0.9 s.  Requests must stop within 2 s after an endpoint
+left, so 0.7 s remain for that read."""
 
 PEER_BACKOFF_DURATION = datetime.timedelta(seconds=4)
-"""How long a peer whose news was late is not followed."""
+"""How long a reader is not followed after its relay failed or was late."""
 
 PROBE_INTERVAL = datetime.timedelta(seconds=2)
-"""How often a gateway that the store turned away asks it again, while a
-peer gives it the news."""
+"""How often a follower that lost the store tries to reach it again."""
 
 MAX_CONSECUTIVE_FAILURES = 2
-"""Calls of the store that fail in a row until it counts as lost: one
-answer may be lost, and followers would all begin to read."""
+"""Consecutive failed calls after which the store counts as lost.  With one,
+a single lost answer would make all followers read."""
 
 FIRST_HOST_MAX_RETRY_DELAY = datetime.timedelta(milliseconds=900)
-"""Longest wait between two calls of a store that fails, for the first
-gateway of a zone: as long as between two readings."""
+"""Maximum delay between calls to a failing store, for the gateway whose host
+name sorts first in its zone: one poll interval."""
 
 OTHER_HOST_MAX_RETRY_DELAY = datetime.timedelta(seconds=3)
-"""The same for the others, who hear from the first when it is back."""
+"""The same for the other gateways, which can follow the first one once the
+store is back."""
 
 PEER_DISCOVERY_DURATION = datetime.timedelta(milliseconds=700)
-"""How long a new process waits to hear whom it may follow, before it
-does what one gateway a zone is enough for: peers speak each 0.15 s."""
+"""How long a new process waits for peer updates before it does work that one
+gateway per zone is enough for."""
 
 
 class ReadMode(enum.Enum):
@@ -54,7 +52,7 @@
 
     FULL = 'full'
     PROBE = 'probe'
-    """Only whether it answers again."""
+    """Only test whether the store answers again."""
 
     NONE = 'none'
 
@@ -64,31 +62,29 @@
     zone: str
     is_reader: bool
     heard_at: datetime.datetime
-    distrusted_until: datetime.datetime | None = None
+    backoff_until: datetime.datetime | None = None
 
 
 class ReaderSelection:
-    """Decides for one gateway whom it follows and whether it reads."""
+    """Decides for one gateway which reader it follows, or that it reads."""
 
     def __init__(
         self, *, host: str, zone: str, now: datetime.datetime
     ) -> None:
-        self._settles_at = now + PEER_DISCOVERY_DURATION
+        self._discovery_ends_at = now + PEER_DISCOVERY_DURATION
         self._host = host
         self._zone = zone
         self._peers: dict[str, _Peer] = {}
         self._following = ''
         self._relayed_at: datetime.datetime | None = None
         self._failures = 0
-        self._answered = False
+        self._has_answered = False
         self._probed_at: datetime.datetime | None = None
 
-    # -- events ----------------------------------------------------------
-
     def on_peer_update(
         self, host: str, zone: str, is_reader: bool, now: datetime.datetime
     ) -> None:
-        """A peer told whether it reads the store itself."""
+        """Record from a peer update whether ``host`` is a reader."""
         known = self._peers.get(host)
         if known is None:
             self._peers[host] = _Peer(
@@ -100,54 +96,52 @@
         known.heard_at = now
 
     def on_relayed(self, host: str, now: datetime.datetime) -> None:
-        """News, perhaps that there is none, came from ``host``."""
+        """Record that relayed records, or a keepalive, came from ``host``."""
         self._following = host
         self._relayed_at = now
 
     def on_reader_stopped(self, host: str) -> None:
-        """``host`` does not read any more, until it says so anew."""
+        """Stop following ``host`` until its updates say that it reads."""
         known = self._peers.get(host)
         if known is not None:
             known.is_reader = False
         self.stop_following(host)
 
     def on_relay_failed(self, host: str, now: datetime.datetime) -> None:
-        """``host`` broke off, or gave its news late."""
+        """Stop following ``host`` for a while after its relay failed."""
         known = self._peers.get(host)
         if known is not None:
-            known.distrusted_until = now + PEER_BACKOFF_DURATION
+            known.backoff_until = now + PEER_BACKOFF_DURATION
         self.stop_following(host)
 
     def stop_following(self, host: str) -> None:
-        """``host`` is not followed any more."""
+        """Record that ``host`` is no longer followed."""
         if self._following == host:
             self._following = ''
             self._relayed_at = None
 
     def on_store_success(self) -> None:
-        """The store answered a call of this gateway."""
+        """Record that the store answered a call of this gateway."""
         self._failures = 0
-        self._answered = True
+        self._has_answered = True
 
     def on_store_failure(self, now: datetime.datetime) -> None:
-        """A call of this gateway failed."""
+        """Record that a store call of this gateway failed."""
         self._failures += 1
         self._probed_at = now
 
     @property
     def relayed_at(self) -> datetime.datetime | None:
-        """When the peer that is followed was heard of last."""
+        """When the followed reader last sent something, None without one."""
         return self._relayed_at
 
-    # -- decisions -------------------------------------------------------
-
     @property
     def store_lost(self) -> bool:
-        """Whether this gateway's last calls of the store failed."""
+        """Whether this gateway's last store calls failed."""
         return self._failures >= MAX_CONSECUTIVE_FAILURES
 
     def reader_to_follow(self, now: datetime.datetime) -> str:
-        """Return the peer to follow, empty if there is none."""
+        """Return the host of the reader to follow, empty for none."""
         found = [
             (peer.zone != self._zone, host)
             for host, peer in self._peers.items()
@@ -157,7 +151,7 @@
 
     def read_mode(self, now: datetime.datetime) -> ReadMode:
         """Return how much to read from the store."""
-        if not self._fresh(now):
+        if not self._is_relay_current(now):
             return ReadMode.FULL
         if not self.store_lost:
             return ReadMode.NONE
@@ -167,21 +161,22 @@
         return ReadMode.PROBE
 
     def max_retry_delay(self, now: datetime.datetime) -> datetime.timedelta:
-        """Return how long a failed call waits at most for the next."""
+        """Return the maximum delay before a failed call is repeated."""
         for host, peer in self._peers.items():
-            heard = now - peer.heard_at <= PEER_TIMEOUT
-            if heard and peer.zone == self._zone and host < self._host:
+            is_alive = now - peer.heard_at <= PEER_TIMEOUT
+            if is_alive and peer.zone == self._zone and host < self._host:
                 return OTHER_HOST_MAX_RETRY_DELAY
         return FIRST_HOST_MAX_RETRY_DELAY
 
     def has_discovered_peers(self, now: datetime.datetime) -> bool:
-        """Return whether peers have had time to be heard."""
-        return now >= self._settles_at
+        """Return whether peers have had time to send an update."""
+        return now >= self._discovery_ends_at
 
     def is_passive(self, now: datetime.datetime) -> bool:
-        """Return whether what one gateway a zone does is left to others.
+        """Return whether to leave work of one gateway per zone to others.
 
-        Also while the store does not answer: calls would only fail.
+        This holds for followers, during peer discovery, and while the
+        store is lost.
         """
         if self.store_lost or not self.has_discovered_peers(now):
             return True
@@ -189,7 +184,7 @@
 
     def is_reader(self, now: datetime.datetime) -> bool:
         """Return whether others may follow this gateway."""
-        if self.store_lost or not self._answered:
+        if self.store_lost or not self._has_answered:
             return False
         return self.read_mode(now) is ReadMode.FULL
 
@@ -198,13 +193,13 @@
     ) -> bool:
         if not peer.is_reader or now - peer.heard_at > PEER_TIMEOUT:
             return False
-        until = peer.distrusted_until
+        until = peer.backoff_until
         if until is not None and now < until:
             return False
         if self.store_lost:
             return True
         return peer.zone == self._zone and host < self._host
 
-    def _fresh(self, now: datetime.datetime) -> bool:
+    def _is_relay_current(self, now: datetime.datetime) -> bool:
         last = self._relayed_at
         return last is not None and now - last <= RELAY_TIMEOUT
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -1,8 +1,8 @@
-"""Passes the store's news on to gateways that do not read it.
+"""Relays records of the store from a reader to its followers.
 
-A follower asks its peer for news once, and the answer never ends: first
-all that is known, then each change as the peer reads it, and an empty
-line at each reading without one.  A line is a JSON array.
+A follower sends one request, and the response has no end: first a snapshot
+of all records, then changes as the reader reads them, and an empty line as a
+keepalive for each read without changes.  A line is a JSON array.
 """
 
 import asyncio
@@ -23,27 +23,24 @@
 REQUEST_TARGET = b'/news'
 
 CONNECT_TIMEOUT_S = 0.3
-"""As for endpoints: the longest round trip between zones is 3 ms."""
 
 POLL_INTERVAL_S = 0.1
-"""How often a follower looks whether it should follow, or another."""
+"""How often both sides check whether the relay should go on."""
 
 MAX_LINE_BYTES = 8_388_608
-"""Bytes of one line: twice the largest plan that operators may write,
-4 MiB in the deployments known."""
+"""Twice the size of the largest plan, 4 MiB."""
 
 MAX_QUEUED_LINES = 200
-"""Lines that wait for one follower; one that falls further behind is
-cut off, and begins anew."""
+"""A follower with more lines queued is disconnected; it gets a snapshot when
+it follows again."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RelayedRecords:
-    """What was learnt of one topic.
+    """Records of one topic that a reader read up to ``end``.
 
-    ``records`` are those that changed, or if ``whole`` all that there
-    are; ``absent`` are keys that are gone without a record.  The topic
-    was read up to ``end``.
+    ``records`` are the changed ones, or all of them if ``whole``.
+    ``absent`` are keys that disappeared without a record.
     """
 
     topic: str
@@ -54,10 +51,10 @@
 
 
 def encode(relayed: RelayedRecords) -> bytes:
-    """Return a line; values are text.
+    """Return relayed records as one line of JSON.
 
-    One that is not is spoilt here, and rejected by readers as it was by
-    this one.
+    Values should be UTF-8.  Invalid bytes are replaced; followers reject
+    such a record as its reader did.
     """
     records = [[r.offset, r.key, _text(r.value)] for r in relayed.records]
     line = [relayed.topic, relayed.end, records, relayed.absent, relayed.whole]
@@ -69,7 +66,10 @@
 
 
 def decode(line: bytes) -> RelayedRecords:
-    """Return the news of a line; raises ``ValueError`` if it is none."""
+    """Return the relayed records of a line.
+
+    Raises ``ValueError`` if the line is malformed.
+    """
     try:
         topic, end, records, absent, whole = orjson.loads(line)
         return RelayedRecords(
@@ -87,88 +87,94 @@
             whole=bool(whole),
         )
     except (TypeError, AttributeError) as exc:
-        raise ValueError(f'not news: {exc}') from exc
+        raise ValueError(f'malformed relayed records: {exc}') from exc
 
 
 class Publisher:
-    """Gives followers the news of a gateway that reads the store."""
+    """Sends what a reader reads to its followers."""
 
     def __init__(
         self,
         *,
         snapshot: abc.Callable[[], list[RelayedRecords]],
-        reads: abc.Callable[[], bool],
-        known: abc.Callable[[str], bool],
+        is_reader: abc.Callable[[], bool],
+        is_peer_address: abc.Callable[[str], bool],
     ) -> None:
-        """``known`` says whether an IP address is a gateway's."""
+        """Relay while ``is_reader()`` holds.
+
+        ``snapshot`` returns all current records; ``is_peer_address``
+        returns whether an IP address belongs to a gateway.
+        """
         self._snapshot = snapshot
-        self._reads = reads
-        self._known = known
-        self._queues: set[asyncio.Queue[bytes]] = set()
+        self._is_reader = is_reader
+        self._is_peer_address = is_peer_address
+        self._follower_queues: set[asyncio.Queue[bytes]] = set()
 
     @property
     def followers(self) -> int:
-        """How many gateways follow this one."""
-        return len(self._queues)
+        """The number of gateways that follow this one."""
+        return len(self._follower_queues)
 
     def publish(self, relayed: RelayedRecords | None) -> None:
-        """Pass relayed on; None says that there is none."""
-        if not self._queues:
+        """Queue records for all followers; None queues a keepalive."""
+        if not self._follower_queues:
             return
         line = b'\n' if relayed is None else encode(relayed)
-        for queue in list(self._queues):
+        for queue in list(self._follower_queues):
             try:
                 queue.put_nowait(line)
             except asyncio.QueueFull:
-                # Its answer ends at the next look, see handle().
-                self._queues.discard(queue)
+                # This makes handle() end its response.
+                self._follower_queues.discard(queue)
 
     async def handle(
         self,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
-        """Answer a follower until it leaves or this one stops reading."""
-        if request.target != REQUEST_TARGET or not self._known(
+        """Serve a follower until it leaves or this gateway stops reading."""
+        if request.target != REQUEST_TARGET or not self._is_peer_address(
             request.remote_ip
         ):
-            self._refuse(answer, 404)
+            self._send_error(response, 404)
             return
-        if not self._reads():
-            self._refuse(answer, 503)
+        if not self._is_reader():
+            self._send_error(response, 503)
             return
         queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_LINES)
-        self._queues.add(queue)
+        self._follower_queues.add(queue)
         try:
-            answer.start(200, [])
-            for news in self._snapshot():
-                answer.write(encode(news))
-            while self._reads() and queue in self._queues:
-                await self._pass_on(queue, answer)
-            answer.end()
+            response.start(200, [])
+            for relayed in self._snapshot():
+                response.write(encode(relayed))
+            while self._is_reader() and queue in self._follower_queues:
+                await self._send_next(queue, response)
+            response.end()
         finally:
-            self._queues.discard(queue)
+            self._follower_queues.discard(queue)
 
-    async def _pass_on(
-        self, queue: asyncio.Queue[bytes], answer: http1_server.ResponseWriter
+    async def _send_next(
+        self,
+        queue: asyncio.Queue[bytes],
+        response: http1_server.ResponseWriter,
     ) -> None:
         try:
             async with asyncio.timeout(POLL_INTERVAL_S):
                 line = await queue.get()
         except TimeoutError:
             return
-        answer.write(line)
-        await answer.drain()
+        response.write(line)
+        await response.drain()
 
-    def _refuse(
-        self, answer: http1_server.ResponseWriter, status: int
+    def _send_error(
+        self, response: http1_server.ResponseWriter, status: int
     ) -> None:
-        answer.start(status, [(b'content-length', b'0')])
-        answer.end()
+        response.start(status, [(b'content-length', b'0')])
+        response.end()
 
 
 class Follower:
-    """Follows the peer that the source names, for ever."""
+    """Receives relayed records from the reader that is to be followed."""
 
     def __init__(
         self,
@@ -176,18 +182,21 @@
         selection: selection_module.ReaderSelection,
         peers: peers_module.Peers,
         clock: clock_module.Clock,
-        take: abc.Callable[[RelayedRecords], None],
+        apply: abc.Callable[[RelayedRecords], None],
         local_host: str,
     ) -> None:
-        """Peers know this gateway by the IP address ``local_host``."""
+        """Connect from the IP address ``local_host``, which peers know.
+
+        ``apply`` is called with all records received.
+        """
         self._local_host = local_host
         self._selection = selection
         self._peers = peers
         self._clock = clock
-        self._take = take
+        self._apply = apply
 
     async def run(self) -> None:
-        """Follow whoever is to be followed."""
+        """Follow the current reader, until cancelled."""
         while True:
             host = self._selection.reader_to_follow(self._clock.now())
             address = self._peers.address(host) if host else None
@@ -202,7 +211,7 @@
                 TimeoutError,
                 ValueError,
             ) as exc:
-                self._tell_end(host, str(exc) or 'no news in time')
+                self._log_end(host, str(exc) or 'nothing received in time')
                 self._selection.on_relay_failed(host, self._clock.now())
 
     async def _connect_and_follow(
@@ -222,31 +231,31 @@
     async def _follow(
         self, host: str, connection: http1_client.Connection
     ) -> None:
-        """Take news while ``host`` is to be followed."""
+        """Apply relayed records while ``host`` is the reader to follow."""
         connection.send(
             b'GET', REQUEST_TARGET, [(b'host', host.encode())], b''
         )
-        limit = selection_module.RELAY_TIMEOUT.total_seconds()
-        async with asyncio.timeout(limit):
+        timeout_s = selection_module.RELAY_TIMEOUT.total_seconds()
+        async with asyncio.timeout(timeout_s):
             head = await connection.read_head()
         if head.status_code != 200:
-            self._tell_end(host, f'it answered {head.status_code}')
+            self._log_end(host, f'answered with status {head.status_code}')
             self._selection.on_reader_stopped(host)
             return
         events.emit(events.Event.NEWS_FOLLOWED, peer=host)
-        rest = b''
+        incomplete = b''
         while self._selection.reader_to_follow(self._clock.now()) == host:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout_s):
                 data = await connection.read_data()
             if data is None:
-                self._tell_end(host, 'it reads no more')
+                self._log_end(host, 'it stopped reading the store')
                 self._selection.on_reader_stopped(host)
                 return
-            rest = self._take_lines(host, rest + data)
-        self._tell_end(host, 'another goes before it')
+            incomplete = self._apply_lines(host, incomplete + data)
+        self._log_end(host, 'another reader is preferred')
         self._selection.stop_following(host)
 
-    def _tell_end(self, host: str, reason: str) -> None:
+    def _log_end(self, host: str, reason: str) -> None:
         last = self._selection.relayed_at
         age = None if last is None else self._clock.now() - last
         events.emit(
@@ -256,13 +265,13 @@
             age_ms=age and age // clock_module.MILLISECOND,
         )
 
-    def _take_lines(self, host: str, data: bytes) -> bytes:
-        *lines, rest = data.split(b'\n')
-        if len(rest) > MAX_LINE_BYTES:
-            raise ValueError('a line is too long')
+    def _apply_lines(self, host: str, data: bytes) -> bytes:
+        *lines, incomplete = data.split(b'\n')
+        if len(incomplete) > MAX_LINE_BYTES:
+            raise ValueError('a line exceeds the maximum size')
         for line in lines:
             if line:
-                self._take(decode(line))
+                self._apply(decode(line))
         if lines:
             self._selection.on_relayed(host, self._clock.now())
-        return rest
+        return incomplete
--- a/src/aspenfold/_internal/gateway/store_feeds.py
+++ b/src/aspenfold/_internal/gateway/store_feeds.py
@@ -1,4 +1,4 @@
-"""What a gateway learns from the store, by itself or through a peer."""
+"""Feeds of the plan and the endpoints, from the store or from a reader."""
 
 from collections import abc
 import datetime
@@ -16,16 +16,16 @@
 
 
 class FeedConsumer(typing.Protocol):
-    """Who acts on what the feeds learn."""
+    """Receives the plans and endpoints that the feeds read."""
 
     directory: directory_module.Directory
 
     def adopt(self, plan: plan_module.Plan) -> None:
-        """Put a plan in force if it is newer."""
+        """Apply a plan unless a newer one is in force."""
 
 
 class StoreFeeds:
-    """The plan's feed and the list's, which share what they see."""
+    """The feeds of the plan and of the endpoints, with shared health."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         selection: selection_module.ReaderSelection,
         publish: abc.Callable[[relay.RelayedRecords | None], None],
     ) -> None:
-        """``publish`` passes on what was read here."""
+        """``publish`` sends what this gateway read to its followers."""
         self._platform = platform
         self.health = store_health.StoreHealth(
             clock=clock, selection=selection
@@ -59,16 +59,16 @@
         )
 
     def endpoints_age(self) -> datetime.timedelta | None:
-        """Return the age of what is known of endpoints, None for none."""
+        """Return the age of the endpoint data, None if there is none."""
         return self.endpoints.age()
 
     def snapshot(self) -> list[relay.RelayedRecords]:
-        """Return all that is known, for a peer that begins to follow."""
+        """Return the current records, for a new follower."""
         found = (self.plan.snapshot(), self.endpoints.snapshot())
-        return [news for news in found if news is not None]
+        return [relayed for relayed in found if relayed is not None]
 
     def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
-        """Take what a peer has read; older news changes nothing."""
+        """Apply records that a reader sent; older ones are ignored."""
         if relayed.topic == self._platform.plan_topic:
             self.plan.apply_relayed(relayed)
         elif relayed.topic == self._platform.endpoint_topic:
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -66,8 +66,8 @@
         )
         self._publisher = relay.Publisher(
             snapshot=self._snapshot,
-            reads=lambda: self._selection.is_reader(clock.now()),
-            known=lambda ip: self._peers.is_peer_address(ip),
+            is_reader=lambda: self._selection.is_reader(clock.now()),
+            is_peer_address=lambda ip: self._peers.is_peer_address(ip),
         )
         self._feeds = feeds_module.StoreFeeds(
             platform=platform,
@@ -88,7 +88,7 @@
             selection=self._selection,
             peers=self._peers,
             clock=clock,
-            take=self._take_news,
+            apply=self._apply_relayed,
             local_host=cfg.address,
         )
         ranks_client = rank_client.RankClient(
@@ -227,7 +227,7 @@
     def _snapshot(self) -> list[relay.RelayedRecords]:
         return [self._roster.snapshot(), *self._feeds.snapshot()]
 
-    def _take_news(self, news: relay.RelayedRecords) -> None:
+    def _apply_relayed(self, news: relay.RelayedRecords) -> None:
         self._feeds.apply_relayed(news)
         self._roster.relayed(news)
 
--- a/tests/unit/test_gateway_feeds.py
+++ b/tests/unit/test_gateway_feeds.py
@@ -109,7 +109,7 @@
             asyncio.run(self.feeds.endpoints.poll())
         except ports.StoreUnavailable as exc:
             self.feeds.health.on_failure('list', exc)
-        self.feeds.endpoints.settle()
+        self.feeds.endpoints.remove_missing()
 
     def read_plan(self, page: ports.Page) -> None:
         """Read the plan once."""
@@ -171,7 +171,7 @@
     scene = begun()
     scene.read_list(page((2, 'a', b'draining')))
     assert scene.routable() == ['b']
-    scene.feeds.endpoints._next = None
+    scene.feeds.endpoints._next_offset = None
     scene.read_list(page((0, 'a', b'ready'), (1, 'b', b'ready'), end=2))
     scene.read_list(page((3, 'a', b'ready')))
     assert scene.routable() == ['b']
@@ -182,7 +182,7 @@
     scene = begun()
     scene.read_list(page((2, 'a', None)))
     assert scene.routable() == ['b']
-    scene.feeds.endpoints._next = None
+    scene.feeds.endpoints._next_offset = None
     scene.read_list(page((0, 'a', b'ready'), (1, 'b', b'ready'), end=2))
     assert scene.routable() == ['b']
 
@@ -238,7 +238,7 @@
     """Its end lies before what was read already."""
     scene = begun()
     scene.read_list(page((2, 'c', b'ready')))
-    scene.feeds.health._check_until = scene.clock.now() + 10 * SECOND
+    scene.feeds.health._reread_until = scene.clock.now() + 10 * SECOND
     scene.read_list(page((0, 'a', b'ready'), end=1))
     assert scene.routable() == ['a', 'b', 'c']
 
@@ -271,7 +271,7 @@
     scene.read_plan(page((0, 'plan', b'7')))
     scene.store.trimmed = True
     scene.read_plan(page())
-    scene.feeds.health._check_until = None
+    scene.feeds.health._reread_until = None
     scene.read_plan(page((9, 'plan', b'12'), end=10))
     assert versions(scene) == [7, 12]
 
@@ -374,10 +374,10 @@
 def test_an_endpoint_that_is_gone_does_not_return_by_an_old_reading() -> None:
     """Also if there was no record of its removal."""
     scene = begun()
-    scene.feeds.endpoints._next = None
+    scene.feeds.endpoints._next_offset = None
     scene.read_list(page((1, 'b', b'ready'), end=6))
     assert scene.routable() == ['b']
-    scene.feeds.endpoints._next = None
+    scene.feeds.endpoints._next_offset = None
     scene.read_list(page((5, 'a', b'ready'), (1, 'b', b'ready'), end=6))
     assert scene.routable() == ['b']
 
