--- a/src/aspenfold/_internal/leases/leased_tasks.py
+++ b/src/aspenfold/_internal/leases/leased_tasks.py
@@ -196,7 +196,7 @@
     ``load`` has one value per expert; with any other length all experts
     count as equally loaded.
     """
-    shape = planner.Shape(
+    shape = planner.MapShape(
         ranks=group.ranks,
         experts=group.experts,
         slots_per_rank=group.slots_per_rank,
--- a/src/aspenfold/_internal/network/agent_client.py
+++ b/src/aspenfold/_internal/network/agent_client.py
@@ -13,10 +13,10 @@
 from aspenfold._internal.rpc import aspenfold_grpc as rpc
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
-CONNECT_TIMEOUT = 1.0
-UNARY_TIMEOUT = 1.5
+CONNECT_TIMEOUT_S = 1.0
+UNARY_TIMEOUT_S = 1.5
 
-LOST = (
+CALL_ERRORS = (
     OSError,
     asyncio.TimeoutError,
     grpclib.exceptions.GRPCError,
@@ -26,11 +26,11 @@
 """What a broken or refused call raises."""
 
 
-class LegLost(Exception):
-    """A leg broke; ``sent``: the request may have reached the agent."""
+class AnswerStreamLost(Exception):
+    """The stream broke; ``sent``: the agent may have the request."""
 
     def __init__(self, *, sent: bool) -> None:
-        super().__init__('the leg was lost')
+        super().__init__('the answer stream was lost')
         self.sent = sent
 
 
@@ -44,7 +44,10 @@
     async def execute(
         self, address: str, port: int, request: frames.AttemptRequest
     ) -> abc.AsyncIterator[frames.Frame]:
-        """Open a leg and give its frames; raises LegLost when it breaks."""
+        """Yield the frames of one attempt.
+
+        Raises AnswerStreamLost when the call breaks.
+        """
         stub = self._stub(address, port)
         await self._connect(address, port)
         sent = False
@@ -56,8 +59,8 @@
                 )
                 async for message in stream:
                     yield codec.frame_from_pb(message)
-        except LOST as exc:
-            raise LegLost(sent=sent) from exc
+        except CALL_ERRORS as exc:
+            raise AnswerStreamLost(sent=sent) from exc
 
     async def report(
         self, address: str, port: int, request: pb.ReportRequest
@@ -65,7 +68,7 @@
         """Ask for a report."""
         stub = self._stub(address, port)
         return await stub.Report(
-            request, timeout=UNARY_TIMEOUT, metadata=self._metadata
+            request, timeout=UNARY_TIMEOUT_S, metadata=self._metadata
         )
 
     async def cancel(self, address: str, port: int, attempt_id: str) -> None:
@@ -73,33 +76,33 @@
         try:
             await self._stub(address, port).Cancel(
                 pb.CancelRequest(attempt_id=attempt_id),
-                timeout=UNARY_TIMEOUT,
+                timeout=UNARY_TIMEOUT_S,
                 metadata=self._metadata,
             )
-        except LOST:
+        except CALL_ERRORS:
             return
 
-    async def group(
+    async def send_group_message(
         self, address: str, port: int, message: messages.Message
     ) -> None:
         """Send a message of the expert map protocol; best effort."""
         try:
             await self._stub(address, port).Group(
                 codec.group_to_pb(message),
-                timeout=UNARY_TIMEOUT,
+                timeout=UNARY_TIMEOUT_S,
                 metadata=self._metadata,
             )
-        except LOST:
+        except CALL_ERRORS:
             return
 
-    async def fleet(
+    async def fetch_fleet(
         self, address: str, port: int, have_offset: int
     ) -> pb.FleetReply:
         """Ask a peer entry for a fleet state later than ``have_offset``."""
         channel = self._channel(address, port)
         return await rpc.PeerStub(channel).Fleet(
             pb.FleetRequest(have_offset=have_offset),
-            timeout=UNARY_TIMEOUT,
+            timeout=UNARY_TIMEOUT_S,
             metadata=self._metadata,
         )
 
@@ -114,10 +117,10 @@
         # request that never left from one whose fate is unknown.
         channel = self._channel(address, port)
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await channel.__connect__()
-        except LOST as exc:
-            raise LegLost(sent=False) from exc
+        except CALL_ERRORS as exc:
+            raise AnswerStreamLost(sent=False) from exc
 
     def _channel(self, address: str, port: int) -> grpclib.client.Channel:
         key = (address, port)
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -23,7 +23,7 @@
     for member in leader._members.values():
         assert len(member.runs) < FEW
     for agent in world.agents:
-        assert len(agent.machine._ordered) < FEW
+        assert len(agent.machine._ordered_runs) < FEW
 
 
 def test_an_agent_forgets_attempts_past_their_time() -> None:
@@ -49,7 +49,7 @@
         )
         result = kernel.execute(number, request, now)
         assert isinstance(result[0], actions.CallEndpoint)
-        kernel.endpoint_ended(request.attempt_id, now)
+        kernel.on_endpoint_ended(request.attempt_id, now)
     kernel.tick(
         now + agent_kernel.ATTEMPT_RETENTION + datetime.timedelta(seconds=2)
     )
