--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -1,4 +1,4 @@
-"""Reads the ranks' counts for a leader, at the pace that they are worth."""
+"""Reads the expert counts of a group's ranks for its leader."""
 
 import asyncio
 from collections import abc
@@ -10,17 +10,18 @@
 from aspenfold._internal.gateway import sampling
 
 PAID_POLL_INTERVAL = datetime.timedelta(milliseconds=500)
-"""Pace of reading counts that are paid for, of one rank after the other."""
+"""Interval of reading one rank's counts directly, which costs money."""
 
 FAST_PAID_POLL_INTERVAL = datetime.timedelta(milliseconds=250)
-"""Their pace while the newest counts hint that demand has shifted."""
+"""The same while the newest counts suggest that demand has shifted."""
 
 
 class CountReader:
-    """Gives a planner the counts of one group's ranks.
+    """Polls the counts of one group's ranks and passes them to a planner.
 
-    Reading goes on beside the leader's work: a rank that is slow to answer
-    must not keep a held group waiting.
+    Reads run in a task of their own, so that a slow answer does not delay
+    the leader.  ``agents_answered`` is whether any agent answered the last
+    poll.
     """
 
     def __init__(
@@ -30,46 +31,47 @@
         planner: map_planner.GroupMapPlanner,
         zone: str,
     ) -> None:
-        """``zone`` is the leader's."""
+        """``zone`` is the leader's availability zone."""
         self._ranks = ranks_client
         self._planner = planner
         self._zone = zone
-        self._turns = 0
-        # Whether agents gave counts the last time.
+        self._polls = 0
         self.agents_answered = False
-        self._read_at: datetime.datetime | None = None
-        self._whole_at: datetime.datetime | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._polled_at: datetime.datetime | None = None
+        self._all_zones_polled_at: datetime.datetime | None = None
+        self._poll_task: asyncio.Task[None] | None = None
 
     def poll(
         self,
         endpoints: abc.Mapping[int, directory.Endpoint],
         now: datetime.datetime,
     ) -> bool:
-        """Begin to read if that is due; return whether it was."""
-        last = self._read_at
-        if last is not None and now - last < self._interval(endpoints):
+        """Start a poll if one is due and none runs; return whether it did."""
+        last_at = self._polled_at
+        if last_at is not None and now - last_at < self._interval(endpoints):
             return False
-        if self._reading is not None and not self._reading.done():
+        if self._poll_task is not None and not self._poll_task.done():
             return False
-        self._read_at = now
-        self._turns += 1
-        whole = self._whole_at is None
-        if self._whole_at is not None:
-            whole = now - self._whole_at >= sampling.GROUP_INTERVAL
-        if whole:
-            self._whole_at = now
-        self._reading = asyncio.create_task(self._read(endpoints, whole))
+        self._polled_at = now
+        self._polls += 1
+        all_zones = self._all_zones_polled_at is None
+        if self._all_zones_polled_at is not None:
+            all_zones = (
+                now - self._all_zones_polled_at >= sampling.GROUP_INTERVAL
+            )
+        if all_zones:
+            self._all_zones_polled_at = now
+        self._poll_task = asyncio.create_task(self._read(endpoints, all_zones))
         return True
 
     def expedite(self) -> None:
-        """Let the next turn be due at once."""
-        self._read_at = None
+        """Make the next poll due at once."""
+        self._polled_at = None
 
     def cancel(self) -> None:
-        """Give up what is being read."""
-        if self._reading is not None:
-            self._reading.cancel()
+        """Cancel the current poll."""
+        if self._poll_task is not None:
+            self._poll_task.cancel()
 
     def _interval(
         self, endpoints: abc.Mapping[int, directory.Endpoint]
@@ -83,37 +85,34 @@
         )
 
     async def _read(
-        self, endpoints: abc.Mapping[int, directory.Endpoint], whole: bool
+        self, endpoints: abc.Mapping[int, directory.Endpoint], all_zones: bool
     ) -> None:
-        """Read counts: those that cost nothing if there are any."""
+        """Read counts through agents, or directly if no agent answers."""
         self.agents_answered = await self._sample(
-            endpoints, free=True, whole=whole
+            endpoints, via_agents=True, all_zones=all_zones
         )
         if not self.agents_answered:
-            await self._sample(endpoints, free=False, whole=False)
+            await self._sample(endpoints, via_agents=False, all_zones=False)
         self._planner.update_estimate()
 
     async def _sample(
         self,
         endpoints: abc.Mapping[int, directory.Endpoint],
         *,
-        free: bool,
-        whole: bool,
+        via_agents: bool,
+        all_zones: bool,
     ) -> bool:
-        """Read counts; ``free``: only those that cost nothing.
-
-        Return whether any were read.
-        """
+        """Read the chosen ranks' counts; return whether any rank answered."""
         chosen = sampling.chosen(
             endpoints,
             zone=self._zone,
-            free=free,
-            turn=self._turns,
-            whole=whole,
+            free=via_agents,
+            turn=self._polls,
+            whole=all_zones,
         )
         read = await asyncio.gather(
             *(
-                self._ranks.counts(endpoints[r], agent_only=free)
+                self._ranks.counts(endpoints[r], agent_only=via_agents)
                 for r in chosen
             )
         )
@@ -121,6 +120,6 @@
             if counts is None:
                 continue
             self._planner.add_counts(rank, counts)
-            # Requests are answered between the samples.
+            # Give way to requests.
             await asyncio.sleep(0)
         return any(counts is not None for counts in read)
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -1,8 +1,7 @@
-"""Leads an expert-parallel group: watches demand, changes maps.
+"""Leads an expert-parallel group: samples demand and changes its map.
 
-One gateway at a time does this, under a lease in the store.  Its orders
-are safe without the lease, see :mod:`aspenfold._internal.expertmaps.\
-map_switch`.
+One gateway at a time does this, under a lease in the store.  Orders are safe
+even with two leaders, see :mod:`aspenfold._internal.expertmaps.map_switch`.
 """
 
 import asyncio
@@ -21,34 +20,39 @@
 from aspenfold._internal.observability import events
 
 TICK_INTERVAL_S = 0.02
-"""Pace of the switch's timers, half of its shortest, 40 ms."""
+"""Resolution of the map switch's timers, the shortest of which is 40 ms."""
 
 SLOWDOWN_POLL_INTERVAL = datetime.timedelta(seconds=2)
-"""How often all ranks are asked how fast they are: a rank that turns
-slow holds back all, and each asking costs a probe a rank."""
+"""How often all ranks' slowdowns are read without agents, which costs money
+for each rank."""
 
 AGENT_SLOWDOWN_POLL_INTERVAL = datetime.timedelta(milliseconds=500)
-"""The same through agents, where asking costs next to nothing."""
+"""The same through agents, which is almost free."""
 
 MIN_REPORTED_SLOWDOWN = 1.2
-"""A rank is told as slow from here; less is within a report's noise."""
+"""Slowdown from which a rank is published as slow; less may be noise."""
 
 DISCOVERY_INTERVAL = datetime.timedelta(milliseconds=500)
-"""Wait between two searches for the ranks of a broken group."""
+"""Delay between two searches for the ranks of a group."""
 
 OUTAGE_DISCOVERY_INTERVAL = datetime.timedelta(seconds=1)
-"""The same while the group refuses requests, unless it is seen to run:
-each search costs a probe of every rank."""
+"""The same during an outage of the group, unless it is seen to recover."""
 
 RECOVERY_DISCOVERY_INTERVAL = datetime.timedelta(milliseconds=100)
-"""The same when it was just seen to run: reports are 200 ms behind."""
+"""The same shortly after the group recovered, while its reports lag."""
 
 TOKENS_PER_TERM = 1_000_000
-"""Rounds that one term may take; tokens of the next are all higher."""
+"""Tokens of map changes that one term can use; those of the next term are
+higher."""
 
 
 class GroupLeader:
-    """Leads the group behind one service for one term."""
+    """Leads one group of a service during one term of leadership.
+
+    Setting ``draining`` prevents further map changes.  ``fenced`` is set
+    when a rank reported a higher token.  ``map_changes`` counts the map
+    changes that were started.
+    """
 
     def __init__(
         self,
@@ -83,9 +87,9 @@
         self._counts = count_reader.CountReader(
             ranks_client=ranks_client, planner=self._planner, zone=zone
         )
-        self._paces: dict[int, float] = {}
-        self._paced_at: datetime.datetime | None = None
-        self._told_state: map_switch.State | None = None
+        self._slowdowns: dict[int, float] = {}
+        self._slowdowns_read_at: datetime.datetime | None = None
+        self._logged_state: map_switch.State | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.draining = False
         self._stopped = False
@@ -99,34 +103,29 @@
 
     @property
     def holds_group(self) -> bool:
-        """Whether the group may stand until this leader goes on."""
+        """Whether the group may be blocked on a pass that is held for it."""
         return self._switch is not None and self._switch.may_hold_pass
 
     def stop(self) -> None:
-        """Send no more orders, whatever answers still come."""
+        """Send no more orders, also not in response to late answers."""
         self._stopped = True
 
     async def run(self) -> None:
-        """Lead until fenced or cancelled.
-
-        Once ``ending`` is set, no new round is begun.
-        """
+        """Lead until fenced or cancelled."""
         try:
             while not self.fenced:
                 if self._switch is None:
-                    await self._find_group()
+                    await self._discover_ranks()
                 else:
-                    await self._turn(self._switch)
+                    await self._tick(self._switch)
                 await asyncio.sleep(TICK_INTERVAL_S)
         finally:
             self._counts.cancel()
             for task in self._tasks:
                 task.cancel()
 
-    # -- finding the ranks -----------------------------------------------
-
-    async def _find_group(self) -> None:
-        """Learn which endpoint is which rank of a group that is open."""
+    async def _discover_ranks(self) -> None:
+        """Find the endpoints of all ranks, if the group is available."""
         members = list(self._members.of_service(self._service))
         reports = await asyncio.gather(
             *(self._ranks.report(endpoint) for endpoint in members)
@@ -134,7 +133,7 @@
         found: dict[int, directory.Endpoint] = {}
         epochs: set[int] = set()
         size = 0
-        holder: rank_protocol.Report | None = None
+        hold_rank_report: rank_protocol.Report | None = None
         for endpoint, report in zip(members, reports, strict=True):
             if report is None or report.group != self._group:
                 continue
@@ -144,35 +143,38 @@
             epochs.add(report.epoch)
             size = report.size
             if report.rank == map_switch.HOLD_RANK:
-                holder = report
-        if holder is None or len(epochs) != 1 or len(found) != size:
-            await self._wait_to_find()
+                hold_rank_report = report
+        if hold_rank_report is None or len(epochs) != 1 or len(found) != size:
+            await self._wait_for_discovery()
             return
-        await self._take_group(found, holder)
+        await self._start_leading(found, hold_rank_report)
 
-    async def _wait_to_find(self) -> None:
-        """Wait until another search for the ranks may find them."""
+    async def _wait_for_discovery(self) -> None:
+        """Wait until the ranks should be searched for again."""
         if self._outage.lasts:
             await self._outage.wait(OUTAGE_DISCOVERY_INTERVAL)
             return
-        wait = DISCOVERY_INTERVAL
+        delay = DISCOVERY_INTERVAL
         if self._outage.ended_lately(self._clock.now()) is not None:
-            wait = RECOVERY_DISCOVERY_INTERVAL
-        await asyncio.sleep(wait.total_seconds())
+            delay = RECOVERY_DISCOVERY_INTERVAL
+        await asyncio.sleep(delay.total_seconds())
 
-    async def _take_group(
+    async def _start_leading(
         self,
         found: dict[int, directory.Endpoint],
-        holder: rank_protocol.Report,
+        hold_rank_report: rank_protocol.Report,
     ) -> None:
-        """Lead the group; a pass that is held already is released soon."""
-        epoch, version = holder.epoch, holder.version
-        current = await self._current_map(found, version)
+        """Start to lead the group whose ranks were ``found``.
+
+        A pass that an earlier leader left held is released.
+        """
+        epoch, version = hold_rank_report.epoch, hold_rank_report.version
+        current = await self._read_current_map(found, version)
         if current is None:
             return
         self._map = current
         self._endpoints = found
-        # Demand may be known already: look at once whether a map pays.
+        # Demand may be known already, so that a new map may pay at once.
         self._counts.expedite()
         self._switch = map_switch.MapSwitch(
             group=self._group,
@@ -186,23 +188,24 @@
             epoch=epoch,
             ranks=len(found),
             version=version,
-            held=holder.held,
+            held=hold_rank_report.held,
         )
-        self._perform(
-            self._switch, self._switch.on_report(holder, self._clock.now())
+        self._start_actions(
+            self._switch,
+            self._switch.on_report(hold_rank_report, self._clock.now()),
         )
 
-    async def _current_map(
+    async def _read_current_map(
         self, found: dict[int, directory.Endpoint], version: int
     ) -> rank_protocol.Map | None:
-        """Return the map in use, None if it cannot be read whole."""
+        """Return the map in use, None unless all ranks report it."""
         if version == 0:
             return map_planner.initial_map(len(found), self._shape)
-        held = await asyncio.gather(
-            *(self._ranks.held(found[rank]) for rank in sorted(found))
+        rank_maps = await asyncio.gather(
+            *(self._ranks.rank_map(found[rank]) for rank in sorted(found))
         )
         by_rank: list[rank_protocol.SetMap] = []
-        for rank_map in held:
+        for rank_map in rank_maps:
             if rank_map is None or rank_map.version != version:
                 return None
             by_rank.append(rank_map.experts)
@@ -211,21 +214,19 @@
             for s in range(self._shape.sets)
         )
 
-    # -- leading ---------------------------------------------------------
-
-    async def _turn(self, switch: map_switch.MapSwitch) -> None:
+    async def _tick(self, switch: map_switch.MapSwitch) -> None:
         now = self._clock.now()
-        self._perform(switch, switch.tick(now))
-        # A group that refuses requests opens in a new epoch.
-        broken = self._outage.lasts and not switch.may_hold_pass
-        if broken or switch.state is map_switch.State.LOST:
-            self._leave(switch)
+        self._start_actions(switch, switch.tick(now))
+        # After an outage the group runs in a new epoch.
+        is_unavailable = self._outage.lasts and not switch.may_hold_pass
+        if is_unavailable or switch.state is map_switch.State.LOST:
+            self._on_epoch_lost(switch)
             return
-        await self._watch(switch, now)
+        await self._sample_and_plan(switch, now)
 
-    def _leave(self, switch: map_switch.MapSwitch) -> None:
+    def _on_epoch_lost(self, switch: map_switch.MapSwitch) -> None:
         self._switch = None
-        # Ranks that did not restart go on to refuse lower tokens.
+        # Ranks that did not restart keep refusing lower tokens.
         self._first_token = switch.token
         self.fenced = switch.fenced
         events.emit(
@@ -235,10 +236,10 @@
             fenced=switch.fenced,
         )
 
-    async def _watch(
+    async def _sample_and_plan(
         self, switch: map_switch.MapSwitch, now: datetime.datetime
     ) -> None:
-        """Sample demand, and begin a round where a new map pays."""
+        """Sample demand, and change the map if a new one pays for itself."""
         if not self._counts.poll(self._endpoints, now):
             return
         if not switch.is_ready or self.draining:
@@ -246,55 +247,63 @@
         if switch.version == switch.token and self._next_map:
             self._map = self._next_map
         self._next_map = ()
-        self._perform(switch, self._asks(now))
-        self._tell_paces()
-        new_map = await self._planner.plan(self._map, self._pace_list())
+        self._start_actions(switch, self._report_requests(now))
+        self._publish_slowdowns()
+        new_map = await self._planner.plan(self._map, self._slowdown_list())
         if new_map is None or not switch.is_ready or self.draining:
             return
         self._next_map = new_map
         self.map_changes += 1
-        self._perform(switch, switch.start_round(new_map, self._clock.now()))
+        self._start_actions(
+            switch, switch.start_round(new_map, self._clock.now())
+        )
+
+    def _report_requests(
+        self, now: datetime.datetime
+    ) -> list[map_switch.Action]:
+        """Return requests for the reports that are due.
 
-    def _asks(self, now: datetime.datetime) -> list[map_switch.Action]:
-        """Ask the rank that may be held, and at times all for their pace."""
-        last = self._paced_at
-        wait = (
+        The rank on which passes are held is always due, all ranks at the
+        interval of reading slowdowns.
+        """
+        last_read_at = self._slowdowns_read_at
+        interval = (
             AGENT_SLOWDOWN_POLL_INTERVAL
             if self._counts.agents_answered
             else SLOWDOWN_POLL_INTERVAL
         )
-        if last is not None and now - last < wait:
+        if last_read_at is not None and now - last_read_at < interval:
             return [map_switch.RequestReport(rank=map_switch.HOLD_RANK)]
-        self._paced_at = now
+        self._slowdowns_read_at = now
         return [
             map_switch.RequestReport(rank=rank) for rank in self._endpoints
         ]
 
-    def _pace_list(self) -> list[float]:
-        return [self._paces.get(rank, 1.0) for rank in sorted(self._endpoints)]
+    def _slowdown_list(self) -> list[float]:
+        return [
+            self._slowdowns.get(rank, 1.0) for rank in sorted(self._endpoints)
+        ]
 
-    def _tell_paces(self) -> None:
-        """Let all gateways send less to ranks that are slow."""
+    def _publish_slowdowns(self) -> None:
+        """Tell all gateways which ranks are slow, so that they send less."""
         own = {endpoint.name for endpoint in self._endpoints.values()}
-        # Leaders of other groups may tell theirs here, too.
-        paces = {
-            name: pace
-            for name, pace in self._peers.slowdowns.items()
+        # Keep what this gateway's leaders of other groups published.
+        slowdowns = {
+            name: slowdown
+            for name, slowdown in self._peers.slowdowns.items()
             if name not in own
         }
-        for rank, pace in self._paces.items():
-            if pace >= MIN_REPORTED_SLOWDOWN and rank in self._endpoints:
-                paces[self._endpoints[rank].name] = round(pace, 2)
-        if paces != self._peers.slowdowns:
-            self._peers.slowdowns = paces
-            self._members.take_paces(paces)
+        for rank, slowdown in self._slowdowns.items():
+            if slowdown >= MIN_REPORTED_SLOWDOWN and rank in self._endpoints:
+                slowdowns[self._endpoints[rank].name] = round(slowdown, 2)
+        if slowdowns != self._peers.slowdowns:
+            self._peers.slowdowns = slowdowns
+            self._members.take_paces(slowdowns)
             events.emit(
-                events.Event.RANKS_SLOW, group=self._group, paces=paces
+                events.Event.RANKS_SLOW, group=self._group, paces=slowdowns
             )
 
-    # -- carrying out ----------------------------------------------------
-
-    def _perform(
+    def _start_actions(
         self,
         switch: map_switch.MapSwitch,
         actions: list[map_switch.Action],
@@ -302,11 +311,11 @@
         if self._stopped:
             return
         for action in actions:
-            task = asyncio.create_task(self._act(switch, action))
+            task = asyncio.create_task(self._execute(switch, action))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _act(
+    async def _execute(
         self, switch: map_switch.MapSwitch, action: map_switch.Action
     ) -> None:
         endpoint = self._endpoints[action.rank]
@@ -314,8 +323,8 @@
             report = await self._ranks.report(endpoint)
             if report is None or self._switch is not switch:
                 return
-            self._paces[report.rank] = report.slowdown
-            more = switch.on_report(report, self._clock.now())
+            self._slowdowns[report.rank] = report.slowdown
+            actions = switch.on_report(report, self._clock.now())
         else:
             answer = await self._ranks.order(endpoint, action)
             if self._switch is not switch:
@@ -328,15 +337,15 @@
                     token=action.token,
                     answer=answer.value,
                 )
-            more = switch.on_answer(action, answer, self._clock.now())
-        self._tell_state(switch)
-        self._perform(switch, more)
+            actions = switch.on_answer(action, answer, self._clock.now())
+        self._log_state(switch)
+        self._start_actions(switch, actions)
 
-    def _tell_state(self, switch: map_switch.MapSwitch) -> None:
-        """Log a change of map's next state, once."""
-        if switch.state is self._told_state:
+    def _log_state(self, switch: map_switch.MapSwitch) -> None:
+        """Log the state of the map change if it is a new one."""
+        if switch.state is self._logged_state:
             return
-        self._told_state = switch.state
+        self._logged_state = switch.state
         events.emit(
             events.Event.SWITCH_MOVED,
             group=switch.group,
--- a/src/aspenfold/_internal/gateway/group_monitor.py
+++ b/src/aspenfold/_internal/gateway/group_monitor.py
@@ -1,9 +1,9 @@
-"""Learns which group each rank is in, and when a standing group opens.
+"""Finds the group of each rank, and detects when groups recover.
 
-A service may have several groups of ranks, and one that stands must keep
-nobody from the others.  Ranks tell their group in their reports, which
-cost nothing through the agents on their hosts; without agents all ranks
-of a service count as one group, and only requests show that it runs.
+A service may have several groups of ranks, and the outage of one must not
+affect the others.  Reports, which are free through the agents on the ranks'
+hosts, name the rank's group.  Without agents all ranks of a service count as
+one group, and only requests show that it has recovered.
 """
 
 import asyncio
@@ -16,16 +16,14 @@
 from aspenfold._internal.observability import events
 
 POLL_INTERVAL_S = 0.1
-"""Pace of looking at groups that stand: well under the time by which a
-waiting request would be late, and some reports a second."""
+"""Short against the time that requests can wait for a recovery."""
 
 MAX_LOOKUPS_PER_POLL = 4
-"""Ranks that are asked for their group in one turn: those of 72 endpoints
-are known 2 s after a start, long before callers come."""
+"""How many ranks with an unknown group are asked in one poll."""
 
 
 class GroupMonitor:
-    """Asks the agents of ranks, for one gateway."""
+    """Polls the reports of ranks through their agents."""
 
     def __init__(
         self,
@@ -39,13 +37,13 @@
         self._rng = rng
 
     async def run(self) -> None:
-        """Watch for ever."""
+        """Poll until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             await self.poll()
 
     async def poll(self) -> None:
-        """Ask once for what is not known, and for what may have opened."""
+        """Ask some ranks for their group, and check unavailable groups."""
         members = [
             endpoint
             for service in self._core.group_services()
@@ -55,7 +53,7 @@
         await self._check_recoveries([e for e in members if e.group])
 
     async def _find_groups(self, unknown: list[directory.Endpoint]) -> None:
-        """Ask some ranks for their group."""
+        """Ask some of the ranks whose group is unknown for it."""
         self._rng.shuffle(unknown)
         chosen = unknown[:MAX_LOOKUPS_PER_POLL]
         reports = await asyncio.gather(
@@ -78,9 +76,9 @@
     async def _check_recoveries(
         self, members: list[directory.Endpoint]
     ) -> None:
-        """Ask one rank of each standing group whether it is open."""
+        """Ask one rank of each unavailable group whether it recovered."""
         self._rng.shuffle(members)
-        by_group = {
+        rank_by_group = {
             (e.listing.service, e.group): e
             for e in members
             if self._core.outages.stands(e)
@@ -88,10 +86,12 @@
         reports = await asyncio.gather(
             *(
                 self._ranks.report(e, agent_only=True)
-                for e in by_group.values()
+                for e in rank_by_group.values()
             )
         )
-        for (service, group), report in zip(by_group, reports, strict=True):
+        for (service, group), report in zip(
+            rank_by_group, reports, strict=True
+        ):
             if report is None or report.age > map_switch.MAX_FRESH_AGE:
                 continue
             if report.open and report.group == group:
--- a/src/aspenfold/_internal/gateway/leadership.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Keeps one gateway, under a lease, leading the expert-parallel groups."""
+"""Elects the gateway that leads the expert-parallel groups."""
 
 import asyncio
 from collections import abc
@@ -18,37 +18,36 @@
 from aspenfold._internal.observability import events
 
 LEASE_TOPIC = 'keyed.aspenfold-lease'
-"""Our own topic in the store."""
+"""The lease topic, which only gateways write."""
 
 LEASE_KEY = 'maps'
 
 FOLLOWER_READ_TIMEOUT = datetime.timedelta(seconds=4)
-"""Longest waiting read of those who do not lead."""
+"""Longest waiting read of the lease topic by processes that do not lead."""
 
 STARTUP_READ_TIMEOUT = datetime.timedelta(milliseconds=500)
-"""The same while it is not known yet whether a leader lives."""
+"""The same while it is not known yet whether there is a leader."""
 
 RETRY_DELAY = datetime.timedelta(milliseconds=700)
-"""Wait after a failed call; leading goes on without the store."""
+"""Delay after a failed store call; a leader keeps leading meanwhile."""
 
 POLL_INTERVAL = datetime.timedelta(milliseconds=200)
-"""Pace at which a leader looks whether to renew, and for new groups."""
+"""How often a process checks its lease and the groups to lead."""
 
 PROCESS_ID_BITS = 32
-"""Bits that tell a process from the one that ran on its host before."""
+"""Length of the random part of a process's name in the election."""
 
 DRAIN_TIMEOUT = datetime.timedelta(seconds=2)
-"""Longest wait of an ending process for its round: one that goes well
-holds its group for some 0.1 s, one that is undone for 0.7 s."""
+"""How long an ending process waits for its current map changes."""
 
 DRAIN_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
 
 DISCOVERY_INTERVAL = datetime.timedelta(seconds=5)
-"""Pace of the search for groups that are not led yet."""
+"""How often a leader searches for groups that it does not lead yet."""
 
 
 class GroupLeadership:
-    """Contests the lease; leads each group while it is held."""
+    """Takes part in the election; leads all groups while it is leader."""
 
     def __init__(
         self,
@@ -61,10 +60,7 @@
         rng: random.Random,
         is_passive: abc.Callable[[], bool],
     ) -> None:
-        """``rests`` says whether a peer reads the store for this one.
-
-        Such a process does not contest the lease: those that read do.
-        """
+        """While ``is_passive()`` holds, do not try to acquire the lease."""
         self._is_passive = is_passive
         self._core = core
         self._peers = peers
@@ -79,105 +75,113 @@
         self._leaders: dict[
             tuple[str, str], tuple[group_leader.GroupLeader, asyncio.Task]
         ] = {}
-        self._led = 0
+        self._led_token = 0
         self._draining = False
-        # What the store has is not known, or may have changed.
-        self._stale = True
+        # Whether the newest lease record must be read again.
+        self._must_reread = True
         self._discovered_at: datetime.datetime | None = None
 
     @property
     def is_leading(self) -> bool:
-        """Whether this process leads."""
-        return self._led != 0
+        """Whether this process is the leader."""
+        return self._led_token != 0
 
     @property
     def map_changes(self) -> int:
-        """Changes of map that were begun in this term."""
+        """The number of map changes that were started in this term."""
         return sum(leader.map_changes for leader, _ in self._leaders.values())
 
     @property
     def skew(self) -> float:
-        """The largest mean skew of a group's sets as last estimated."""
+        """The largest mean skew of any group, as last estimated."""
         skews = (leader.skew for leader, _ in self._leaders.values())
         return max(skews, default=0.0)
 
     async def run(self) -> None:
-        """Contest and lead for ever."""
+        """Take part in the election, and lead while elected.
+
+        Runs until cancelled.
+        """
         try:
             while True:
-                if self._shapes():
-                    await self._turn()
+                if self._group_shapes():
+                    await self._poll()
                 else:
                     await asyncio.sleep(POLL_INTERVAL.total_seconds())
         finally:
             self._stop_leading()
 
     async def drain(self) -> None:
-        """Begin no more rounds; return once no group is held for one.
+        """Start no more map changes, and wait until no pass is held.
 
-        A leader that ended before would leave its group standing until
-        another has taken over, and none can while the store is down.
+        Ending earlier would make a group unavailable until another leader
+        has taken over, which is impossible during a store outage.  Gives
+        up after ``DRAIN_TIMEOUT``.
         """
         self._draining = True
         for leader, _ in self._leaders.values():
             leader.draining = True
-        limit = DRAIN_TIMEOUT.total_seconds()
+        timeout_s = DRAIN_TIMEOUT.total_seconds()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(limit):
-                while any(ld.holds_group for ld, _ in self._leaders.values()):
+            async with asyncio.timeout(timeout_s):
+                while any(
+                    each.holds_group for each, _ in self._leaders.values()
+                ):
                     await asyncio.sleep(DRAIN_POLL_INTERVAL.total_seconds())
-        held = [n for n, (ld, _) in self._leaders.items() if ld.holds_group]
+        held = [
+            n for n, (each, _) in self._leaders.items() if each.holds_group
+        ]
         for service, group in held:
             events.emit(
                 events.Event.GROUP_LEFT_HELD, service=service, group=group
             )
-        # In the same turn of the loop, so that no hold comes after.
+        # No await since the check above, so that no further pass is held.
         for leader, _ in self._leaders.values():
             leader.stop()
 
     async def release(self) -> None:
-        """Give the lease up, so that another process leads at once."""
+        """Release the lease, so that another process can lead at once."""
         request = self._election.release()
         self._stop_leading()
         if request is not None:
             try:
                 await self._append(request)
             except (ports.StoreUnavailable, ports.AppendConflict) as exc:
-                # It lapses by itself, which only takes longer.
-                self._tell_failure(exc)
-
-    # -- the lease -------------------------------------------------------
+                # The lease expires by itself.
+                self._log_failure(exc)
 
-    async def _turn(self) -> None:
+    async def _poll(self) -> None:
         now = self._core.clock.now()
-        if not self._led and (
+        if not self._led_token and (
             self._peers.is_leader_alive(now) or self._is_passive()
         ):
-            # What the store has is read again once it falls silent.
-            self._stale = True
+            # The lease is read from the store once the leader is lost.
+            self._must_reread = True
             await asyncio.sleep(POLL_INTERVAL.total_seconds())
             return
         try:
-            if self._stale:
+            if self._must_reread:
                 await self._read_newest()
-            silent = self._peers.is_leader_lost(now)
-            request = self._election.next_append(now, holder_silent=silent)
+            leader_lost = self._peers.is_leader_lost(now)
+            request = self._election.next_append(
+                now, holder_silent=leader_lost
+            )
             if request is not None:
                 await self._append(request)
             elif self._election.token:
                 await asyncio.sleep(POLL_INTERVAL.total_seconds())
             else:
-                await self._follow()
+                await self._wait_for_record()
         except ports.AppendConflict as exc:
-            # Another's record, or an own one whose answer was lost.
+            # Another process's record, or an own one with a lost answer.
             self._election.on_append_conflict(exc.end)
-            self._stale = True
+            self._must_reread = True
         except ports.StoreUnavailable as exc:
-            self._stale = True
-            self._tell_failure(exc)
+            self._must_reread = True
+            self._log_failure(exc)
             await asyncio.sleep(RETRY_DELAY.total_seconds())
-        self._follow_token()
-        await self._lead()
+        self._update_leadership()
+        await self._lead_groups()
 
     async def _append(self, request: election_module.AppendRequest) -> None:
         record = {
@@ -189,38 +193,41 @@
         offset = await self._store.append(
             LEASE_TOPIC, LEASE_KEY, value, request.expected_offset
         )
-        grant = election_module.LeaseRecord(
+        lease_record = election_module.LeaseRecord(
             holder=request.holder,
             host=request.host,
             token=request.token,
             offset=offset,
         )
-        self._election.on_read(grant, offset + 1, self._core.clock.now())
+        self._election.on_read(
+            lease_record, offset + 1, self._core.clock.now()
+        )
 
-    async def _follow(self) -> None:
+    async def _wait_for_record(self) -> None:
         now = self._core.clock.now()
-        silent = self._peers.is_leader_lost(now)
-        longest = (
+        leader_lost = self._peers.is_leader_lost(now)
+        max_timeout = (
             STARTUP_READ_TIMEOUT
             if self._peers.is_discovering_leader(now)
             else FOLLOWER_READ_TIMEOUT
         )
-        wait = min(
-            longest, self._election.next_append_in(now, holder_silent=silent)
+        timeout = min(
+            max_timeout,
+            self._election.next_append_in(now, holder_silent=leader_lost),
         )
         try:
             page = await self._store.read(
-                LEASE_TOPIC, self._election.topic_end, wait
+                LEASE_TOPIC, self._election.topic_end, timeout
             )
         except ports.HistoryTrimmed:
-            self._stale = True
+            self._must_reread = True
             return
-        self._take(page)
+        self._apply_page(page)
 
     async def _read_newest(self) -> None:
-        self._take(await self._store.newest(LEASE_TOPIC))
+        self._apply_page(await self._store.newest(LEASE_TOPIC))
 
-    def _tell_failure(self, exc: Exception) -> None:
+    def _log_failure(self, exc: Exception) -> None:
         events.emit(
             events.Event.LEASE_UNSURE,
             duty=LEASE_KEY,
@@ -228,12 +235,12 @@
             error=str(exc)[:200],
         )
 
-    def _take(self, page: ports.Page) -> None:
-        grant = None
+    def _apply_page(self, page: ports.Page) -> None:
+        lease_record = None
         for record in page.records:
             if record.key == LEASE_KEY and record.value:
                 found = orjson.loads(record.value)
-                grant = election_module.LeaseRecord(
+                lease_record = election_module.LeaseRecord(
                     holder=found['holder'],
                     host=found['host'],
                     token=found['token'],
@@ -241,16 +248,16 @@
                 )
         ends = [record.offset + 1 for record in page.records]
         end = max([*ends, page.end])
-        self._stale = False
-        self._election.on_read(grant, end, self._core.clock.now())
+        self._must_reread = False
+        self._election.on_read(lease_record, end, self._core.clock.now())
 
-    def _follow_token(self) -> None:
-        """Begin or end to lead as the lease says."""
+    def _update_leadership(self) -> None:
+        """Start or stop leading when the held token has changed."""
         token = self._election.token
-        if token == self._led:
+        if token == self._led_token:
             return
         self._stop_leading()
-        self._led = token
+        self._led_token = token
         self._peers.token = token
         self._discovered_at = None
         events.emit(
@@ -260,9 +267,7 @@
             token=token,
         )
 
-    # -- the groups ------------------------------------------------------
-
-    def _shapes(self) -> dict[str, plan_module.GroupShape]:
+    def _group_shapes(self) -> dict[str, plan_module.GroupShape]:
         table = self._core.table
         if table is None:
             return {}
@@ -272,26 +277,28 @@
             if service.group is not None
         }
 
-    async def _lead(self) -> None:
-        if not self._led:
+    async def _lead_groups(self) -> None:
+        if not self._led_token:
             return
         if any(leader.fenced for leader, _ in self._leaders.values()):
             self._election.step_down()
-            self._follow_token()
+            self._update_leadership()
             return
         now = self._core.clock.now()
         last = self._discovered_at
         if last is not None and now - last < DISCOVERY_INTERVAL:
             return
         self._discovered_at = now
-        for service, shape in self._shapes().items():
-            for group in await self._groups(service):
-                self._begin(service, group, shape)
-
-    async def _groups(self, service: str) -> set[str]:
-        """Return the names of a service's groups."""
-        led = {group for name, group in self._leaders if name == service}
-        if led:
+        for service, shape in self._group_shapes().items():
+            for group in await self._find_groups(service):
+                self._start_leader(service, group, shape)
+
+    async def _find_groups(self, service: str) -> set[str]:
+        """Return the names of a service's groups if it has no leader yet."""
+        led_groups = {
+            group for name, group in self._leaders if name == service
+        }
+        if led_groups:
             return set()
         members = self._core.directory.of_service(service)
         reports = await asyncio.gather(
@@ -299,14 +306,14 @@
         )
         return {r.group for r in reports if r is not None}
 
-    def _begin(
+    def _start_leader(
         self, service: str, group: str, shape: plan_module.GroupShape
     ) -> None:
         leader = group_leader.GroupLeader(
             service=service,
             group=group,
             shape=shape,
-            token=self._led,
+            token=self._led_token,
             members=self._core.directory,
             ranks_client=self._ranks,
             zone=self._core.cfg.availability_zone,
@@ -322,5 +329,5 @@
         for _, task in self._leaders.values():
             task.cancel()
         self._leaders.clear()
-        self._led = 0
+        self._led_token = 0
         self._peers.token = 0
--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -1,6 +1,6 @@
-"""Whether a group's demand asks for a new expert map, and which.
+"""Plans a group's next expert map from the demand for its experts.
 
-Planning gives way to requests between its steps.
+Planning yields to the event loop between its steps.
 """
 
 import asyncio
@@ -16,25 +16,28 @@
 from aspenfold._internal.observability import events
 
 FAST_SAMPLING_SKEW_GAIN = 0.2
-"""Skew over the best that is known to be reached, from which on counts
-are read faster: the next plan is likely to pay."""
+"""Gain of skew over the best known value from which counts are read more
+often, since the next plan will probably pay."""
 
 PLAN_INTERVAL = datetime.timedelta(seconds=3)
-"""A stage is planned this often also where none seems to pay: the best
-that can be reached may have changed."""
+"""A stage is planned at least this often, since the best value of skew may
+have changed."""
 
 MIN_SKEW_GAIN = 0.2
-"""A stage must promise to lower the mean skew of the sets by this: its
-copies make passes 15 in 100 longer while they last."""
+"""A stage must lower the mean skew of the sets by this, since passes are
+slower while its experts are copied."""
 
 MAX_STAGE_DURATION = datetime.timedelta(milliseconds=450)
-"""Longest time of a stage's copies on one rank, if one expert takes less.
-Demand shifts every few seconds.  After a shift one copy a rank, in 0.4 s,
-lowers the mean skew from 3.2 to 1.35, and a second one to 1.18."""
+"""Maximum copy time of one stage on one rank; one expert is always allowed.
+Demand shifts every few seconds, and the first copies gain most."""
 
 
 class GroupMapPlanner:
-    """Follows one group's demand and plans its maps."""
+    """Estimates one group's demand and plans its maps.
+
+    ``skew`` is the mean skew of the sets under the current map, 0 before it
+    is known.  While ``sample_fast`` holds, counts should be read more often.
+    """
 
     def __init__(
         self,
@@ -49,27 +52,27 @@
         self._demand = demand_estimator.DemandEstimator(
             sets=shape.sets, experts=shape.experts
         )
-        # The skew at which the last stage that was planned did not pay.
-        self._reached: float | None = None
+        # The skew at which the last planned stage did not pay, if it did not.
+        self._best_skew: float | None = None
         self._planned_at: datetime.datetime | None = None
         self.sample_fast = False
         self.skew = 0.0
 
     def add_counts(self, rank: int, counts: rank_protocol.Counts) -> None:
-        """Take how often a rank's requests chose each expert."""
+        """Add how often each expert was chosen by a rank's requests."""
         self._demand.add_counts(rank, counts)
 
     def update_estimate(self) -> None:
-        """Weigh what was sampled since the last time."""
+        """Update the estimate of demand from the counts added since then."""
         self._demand.update_estimate(self._clock.now())
 
     async def plan(
         self, current: rank_protocol.Map, slowdowns: abc.Sequence[float]
     ) -> rank_protocol.Map | None:
-        """Return a map that pays for its change, None if there is none.
+        """Return a map that is worth changing to, None if there is none.
 
-        ``current`` is the map in use, ``slowdowns`` how much longer each rank
-        takes for the same work.
+        ``current`` is the map in use, ``slowdowns`` the slowdown of each
+        rank.
         """
         loads = self._demand.loads()
         if loads is None:
@@ -84,20 +87,20 @@
             loads=loads,
             current=[[list(held) for held in one] for one in current],
             slowdowns=slowdowns,
-            max_copies_per_rank=self._copies,
+            max_copies_per_rank=self._max_copies_per_rank,
         )
         self.skew = stage.skew()
-        if not self._worth_planning():
+        if not self._is_worth_planning():
             return None
         for _ in stage.iter_moves():
             await asyncio.sleep(0)
-        after = stage.skew()
+        skew_after = stage.skew()
         self._planned_at = self._clock.now()
-        if self.skew - after < MIN_SKEW_GAIN:
-            self._reached = self.skew
+        if self.skew - skew_after < MIN_SKEW_GAIN:
+            self._best_skew = self.skew
             return None
-        # The next stage is looked for as soon as this one is in force.
-        self._reached = None
+        # Plan the next stage as soon as this one is in force.
+        self._best_skew = None
         sets = tuple(
             tuple(tuple(experts) for experts in draft.placement)
             for draft in stage.drafts
@@ -106,7 +109,7 @@
             events.Event.MAP_PLANNED,
             service=self._service,
             skew_before=round(self.skew, 3),
-            skew_after=round(after, 3),
+            skew_after=round(skew_after, 3),
             moved=sum(
                 planner.moved_weights(old, new)
                 for old, new in zip(current, sets, strict=True)
@@ -117,25 +120,25 @@
         return sets
 
     @property
-    def _copies(self) -> int:
-        """How many new experts one stage may bring to a rank."""
+    def _max_copies_per_rank(self) -> int:
+        """How many new experts one stage may copy to each rank."""
         most = self._shape.spare * self._shape.sets
         if not self._shape.copy_time:
             return most
         return min(most, max(1, MAX_STAGE_DURATION // self._shape.copy_time))
 
-    def _worth_planning(self) -> bool:
-        """Return whether a stage may pay; set the pace of counts."""
-        if self._reached is None or self._planned_at is None:
+    def _is_worth_planning(self) -> bool:
+        """Return whether a stage may pay; update ``sample_fast``."""
+        if self._best_skew is None or self._planned_at is None:
             return True
-        gain = self.skew - self._reached
+        gain = self.skew - self._best_skew
         self.sample_fast = gain >= FAST_SAMPLING_SKEW_GAIN
-        due = self._clock.now() - self._planned_at >= PLAN_INTERVAL
-        return due or gain >= MIN_SKEW_GAIN
+        is_due = self._clock.now() - self._planned_at >= PLAN_INTERVAL
+        return is_due or gain >= MIN_SKEW_GAIN
 
 
 def initial_map(size: int, shape: plan_module.GroupShape) -> rank_protocol.Map:
-    """Return map 0, which assigns experts to ranks in turn."""
+    """Return the map of version 0, which assigns experts round-robin."""
     one = tuple(
         tuple(range(rank, shape.experts, size)) for rank in range(size)
     )
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -1,15 +1,13 @@
-"""What other gateways have in flight, which plan they know, who leads.
+"""Peer updates: what gateways tell each other in small datagrams.
 
-Each gateway tells the others in small datagrams what it has sent where,
-soon after that changes.  Without it a gateway sees a seventh of the
-work and sends its request to a full rank while another has room.
+An update contains the sender's requests in flight by endpoint, so that
+gateways do not send requests to a full endpoint while another has free
+slots.  It also contains the offset of the sender's plan, so that a lost
+answer of the store is noticed, and whether the sender leads the groups, so
+that the others need not ask the store.
 
-The same datagrams tell how far the sender has read the plan, so that a
-lost answer of the store is noticed, and whether it leads, so that the
-others need not ask the store.
-
-A lost datagram is made good by the next; one that arrives late is left
-out by its number.  Nothing here is needed for an answer to be right.
+Updates may be lost or arrive out of order; the next one replaces them, and
+older sequence numbers are ignored.  Correct answers do not depend on them.
 """
 
 from collections import abc
@@ -23,58 +21,54 @@
 from aspenfold._internal.kernel import clock as clock_module
 
 PEER_TIMEOUT = datetime.timedelta(seconds=2)
-"""A peer that was not heard for so long has nothing in flight, as far as
-choices go: twice the interval of its datagrams at rest."""
+"""The requests in flight of a peer without an update for this long are
+ignored: twice the idle interval."""
 
 IDLE_INTERVAL = datetime.timedelta(seconds=1)
-"""A datagram is sent this often also when nothing changes."""
+"""An update is sent this often even if nothing changes."""
 
 LEADER_INTERVAL = datetime.timedelta(milliseconds=200)
-"""The same for the gateway that leads: a group that it holds stands
-still if it falls silent."""
+"""The same for the leader, whose loss must be noticed quickly: a group whose
+pass it holds is blocked."""
 
 LEADER_TIMEOUT = datetime.timedelta(milliseconds=800)
-"""A leader that was not heard for so long is taken to be gone: three
-of its datagrams, and the time that one may be late."""
+"""A leader without an update for this long counts as lost."""
 
 LEADER_DISCOVERY_DURATION = datetime.timedelta(seconds=2)
-"""A process that has heard no leader for so long since its start takes
-it that none is left: leaders tell each 0.2 s all hosts that the roster
-has, and a new host is in it within about a second."""
+"""How long a new process waits for an update of a leader before it assumes
+that there is none."""
 
 MIN_INTERVAL = datetime.timedelta(milliseconds=25)
-"""Least time between two datagrams to a peer: under the time of a pass,
-so that no slot is filled twice for want of news."""
+"""Minimum time between two updates to a peer: under the time of a pass, so
+that no slot is filled twice."""
 
 INTERVAL_PER_PEER = datetime.timedelta(milliseconds=4)
-"""Added for each peer of the own zone, which bounds the datagrams that one
-gateway sends there to 250 a second however many others there are."""
+"""Added for each peer of the same zone, to bound the datagrams sent there to
+250 a second."""
 
 INTERVAL_PER_REMOTE_PEER = datetime.timedelta(milliseconds=50)
-"""Added for each peer of another zone, which bounds the datagrams there to
-20 a second: bytes between zones are paid for, and requests go to other
-zones only where the own one is clearly fuller.  At 4 ms 32 gateways would
-send some 0.1 GB between zones in 45 s, by reckoning."""
+"""Added for each peer of another zone, to bound the datagrams sent there to
+20 a second: traffic between zones costs money."""
 
 MAX_DATAGRAM_BYTES = 1400
-"""Largest datagram, under the packet size of common networks."""
+"""Below the packet size of common networks; larger updates are not sent."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class PeerUpdate:
-    """One gateway's datagram.
+    """The state that one gateway sends to its peers.
 
-    ``counts`` is what it has in flight, by endpoint, ``plan_offset``
-    the offset of the plan that it has in force, ``token`` its lease's if
-    it leads, else 0.  A leader tells the ``slowdowns`` of slow endpoints.
-    ``is_reader`` says that it reads the store itself;
-    ``recovery_ages`` how long ago services' groups were seen to run again.
+    ``in_flight_counts`` are its requests in flight by endpoint.
+    ``plan_offset`` is the offset of its newest plan.  ``token`` is the
+    fencing token of a leader, else 0; a leader also sends the
+    ``slowdowns`` of slow endpoints.  ``is_reader`` is whether it reads the
+    store itself.  ``recovery_ages`` is how long ago groups recovered.
     """
 
     host: str
     incarnation: str
-    number: int
-    counts: dict[str, int]
+    sequence: int
+    in_flight_counts: dict[str, int]
     plan_offset: int
     token: int
     slowdowns: dict[str, float]
@@ -85,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OutgoingUpdate:
-    """A datagram that is due, and to whom."""
+    """A datagram that is due, and the addresses to send it to."""
 
     data: bytes
     addresses: abc.Sequence[settings.TcpAddress]
@@ -93,23 +87,29 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Sent:
-    """What some peers were told last, and when."""
+    """What was last sent to some peers, and when."""
 
     at: datetime.datetime | None = None
     update: tuple[object, ...] | None = None
-    counts: dict[str, int] | None = None
+    in_flight_counts: dict[str, int] | None = None
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Peer:
     update: PeerUpdate | None = None
-    # None once it counts as silent.
-    heard_at: datetime.datetime | None = None
-    last_at: datetime.datetime | None = None
+    # None once its requests in flight no longer count.
+    counted_at: datetime.datetime | None = None
+    last_update_at: datetime.datetime | None = None
 
 
 class Peers:
-    """Adds up what peers told; writes this gateway's own datagrams."""
+    """Receives the updates of peers and creates this gateway's own.
+
+    Requests in flight of peers are added to the endpoints of ``members``.
+    The attributes ``plan_offset``, ``token``, ``slowdowns``, ``is_reader``
+    and ``recovery_ages`` are sent with the next update.  ``rejected``
+    counts datagrams that were malformed or not from a gateway.
+    """
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         members: directory.Directory,
         now: datetime.datetime,
     ) -> None:
-        """``incarnation`` is another after each start, which is ``now``.
+        """``incarnation`` must be unique to this process, started ``now``.
 
         All gateways listen on ``port``.
         """
@@ -129,14 +129,14 @@
         self._host = host
         self._zone = zone
         self._port = port
-        self._told = False
+        self._has_addresses = False
         self._incarnation = incarnation
         self._members = members
-        self._number = 0
+        self._sequence = 0
         self._peers: dict[str, _Peer] = {}
         self._addresses: dict[str, settings.TcpAddress] = {}
-        self._near_sent = _Sent()
-        self._far_sent = _Sent()
+        self._local_sent = _Sent()
+        self._remote_sent = _Sent()
         self.rejected = 0
         self.plan_offset = -1
         self.token = 0
@@ -145,87 +145,99 @@
         self.recovery_ages: dict[str, datetime.timedelta] = {}
 
     def address(self, host: str) -> settings.TcpAddress | None:
-        """Return where a peer listens, None if it is not known."""
+        """Return the address of a peer, None if it is not known."""
         return self._addresses.get(host)
 
     def is_peer_address(self, ip: str) -> bool:
-        """Return whether an IP address is a gateway's."""
+        """Return whether an IP address belongs to a peer."""
         return any(a.host == ip for a in self._addresses.values())
 
     def set_addresses(self, addresses: dict[str, settings.TcpAddress]) -> None:
-        """Take the addresses of all gateways by their host's name."""
-        self._told = True
+        """Set the addresses of all gateways by host name."""
+        self._has_addresses = True
         self._addresses = {
             host: address
             for host, address in addresses.items()
             if host != self._host
         }
 
-    # -- what others tell ------------------------------------------------
-
     def receive(
         self, data: bytes, sender: str, now: datetime.datetime
     ) -> PeerUpdate | None:
-        """Take a datagram from the IP address ``sender``; return it if new."""
+        """Apply a datagram from the IP address ``sender``.
+
+        Return its update, None if it is invalid, old or a duplicate.
+        """
         update = self._parse(data, sender)
         if update is None:
             self.rejected += 1
             return None
         peer = self._peers.setdefault(update.host, _Peer())
         last = peer.update
-        known = last is not None and last.incarnation == update.incarnation
-        if last is not None and known and update.number <= last.number:
+        is_same_process = (
+            last is not None and last.incarnation == update.incarnation
+        )
+        if (
+            last is not None
+            and is_same_process
+            and update.sequence <= last.sequence
+        ):
             return None
-        peer.heard_at = peer.last_at = now
-        self._count(last, -1)
-        self._count(update, 1)
+        peer.counted_at = peer.last_update_at = now
+        self._add_in_flight(last, -1)
+        self._add_in_flight(update, 1)
         peer.update = update
         if update.token:
             self._members.take_paces(update.slowdowns)
         return update
 
     def is_leader_alive(self, now: datetime.datetime) -> bool:
-        """Return whether a peer that leads was heard a moment ago."""
+        """Return whether a leader sent an update within its timeout."""
         return any(
-            now - heard <= LEADER_TIMEOUT for heard in self._leaders_heard()
+            now - updated_at <= LEADER_TIMEOUT
+            for updated_at in self._leader_update_times()
         )
 
     def is_leader_lost(self, now: datetime.datetime) -> bool:
-        """Return whether no peer leads that could be heard.
+        """Return whether there is no leader.
 
-        Either one led when it was heard last, a while ago, or none was
-        heard since this process started: all may have ended at once.
+        Either the last one timed out, or none sent an update since this
+        process started.
         """
         return not self.is_leader_alive(
             now
         ) and not self.is_discovering_leader(now)
 
     def is_discovering_leader(self, now: datetime.datetime) -> bool:
-        """Return whether a leader may be there that was not heard yet."""
+        """Return whether a leader may exist that sent no update here yet."""
         if now - self._started_at >= LEADER_DISCOVERY_DURATION:
             return False
-        return next(self._leaders_heard(), None) is None
+        return next(self._leader_update_times(), None) is None
 
-    def _leaders_heard(self) -> abc.Iterator[datetime.datetime]:
+    def _leader_update_times(self) -> abc.Iterator[datetime.datetime]:
         for peer in self._peers.values():
             if peer.update is None or not peer.update.token:
                 continue
-            if peer.last_at is not None:
-                yield peer.last_at
+            if peer.last_update_at is not None:
+                yield peer.last_update_at
 
     def _parse(self, data: bytes, sender: str) -> PeerUpdate | None:
         try:
-            host, incarnation, number, counts, *rest = orjson.loads(data)
-            # Later versions may tell more, and earlier ones tell less.
+            host, incarnation, sequence, in_flight_counts, *rest = (
+                orjson.loads(data)
+            )
+            # Other versions may send more fields or fewer.
             offset, token, slowdowns, zone, is_reader, *more = rest
             recovery_ages = more[0] if more else {}
-            if not self._may_be(str(host), sender):
+            if not self._is_authentic(str(host), sender):
                 return None
             return PeerUpdate(
                 host=str(host),
                 incarnation=str(incarnation),
-                number=int(number),
-                counts={str(k): max(0, int(v)) for k, v in counts.items()},
+                sequence=int(sequence),
+                in_flight_counts={
+                    str(k): max(0, int(v)) for k, v in in_flight_counts.items()
+                },
                 plan_offset=int(offset),
                 token=int(token),
                 slowdowns={
@@ -241,75 +253,86 @@
         except (ValueError, TypeError, AttributeError):
             return None
 
-    def _may_be(self, host: str, sender: str) -> bool:
-        """Return whether ``sender`` is the host that it says it is."""
-        if not self._told:
-            # The store has not told the gateways yet, and may turn this
-            # one away: whoever speaks as one is taken to be one.
+    def _is_authentic(self, host: str, sender: str) -> bool:
+        """Return whether ``sender`` is the address of ``host``."""
+        if not self._has_addresses:
+            # The addresses could not be read yet: trust the sender, so that
+            # a gateway without access to the store can follow a reader.
             self._addresses[host] = settings.TcpAddress(
                 host=sender, port=self._port
             )
         address = self._addresses.get(host)
         return address is not None and address.host == sender
 
-    def _count(self, update: PeerUpdate | None, sign: int) -> None:
+    def _add_in_flight(self, update: PeerUpdate | None, sign: int) -> None:
         if update is None:
             return
-        for name, count in update.counts.items():
-            self._add(name, sign * count)
+        for name, count in update.in_flight_counts.items():
+            self._add_to_endpoint(name, sign * count)
 
-    def _add(self, name: str, count: int) -> None:
+    def _add_to_endpoint(self, name: str, count: int) -> None:
         endpoint = self._members.get(name)
         if endpoint is not None:
             endpoint.elsewhere = max(0, endpoint.elsewhere + count)
 
     def expire_silent(self, now: datetime.datetime) -> None:
-        """Leave out what peers told that are not heard any more."""
+        """Ignore the requests in flight of peers that timed out."""
         for peer in self._peers.values():
-            heard = peer.heard_at
-            if heard is None or now - heard <= PEER_TIMEOUT:
+            updated_at = peer.counted_at
+            if updated_at is None or now - updated_at <= PEER_TIMEOUT:
                 continue
-            peer.heard_at = None
-            self._count(peer.update, -1)
+            peer.counted_at = None
+            self._add_in_flight(peer.update, -1)
             if peer.update is not None:
-                peer.update.counts = {}
-
-    # -- what this gateway tells -----------------------------------------
+                peer.update.in_flight_counts = {}
 
     def next_update(self, now: datetime.datetime) -> OutgoingUpdate | None:
-        """Return the datagram that is due now, None if none is.
+        """Return the update that is due now, None if none is.
 
-        Peers of other zones are told of work in flight less often.
+        Peers of other zones get changes of requests in flight less often.
         """
-        near, far = self._by_distance()
-        counts = self._members.in_flight()
+        local, remote = self._local_and_remote_addresses()
+        in_flight_counts = self._members.in_flight()
         update = self._update_fields()
-        soon = MIN_INTERVAL + INTERVAL_PER_PEER * len(self._addresses)
-        near_wait = MIN_INTERVAL + INTERVAL_PER_PEER * len(near)
-        far_wait = MIN_INTERVAL + INTERVAL_PER_REMOTE_PEER * len(far)
+        update_interval = MIN_INTERVAL + INTERVAL_PER_PEER * len(
+            self._addresses
+        )
+        local_interval = MIN_INTERVAL + INTERVAL_PER_PEER * len(local)
+        remote_interval = MIN_INTERVAL + INTERVAL_PER_REMOTE_PEER * len(remote)
         due: list[settings.TcpAddress] = []
-        sending = _Sent(at=now, update=update, counts=counts)
-        if near and self._is_due(self._near_sent, sending, soon, near_wait):
-            due += near
-            self._near_sent = sending
-        if far and self._is_due(self._far_sent, sending, soon, far_wait):
-            due += far
-            self._far_sent = sending
+        current = _Sent(
+            at=now, update=update, in_flight_counts=in_flight_counts
+        )
+        if local and self._is_due(
+            self._local_sent, current, update_interval, local_interval
+        ):
+            due += local
+            self._local_sent = current
+        if remote and self._is_due(
+            self._remote_sent, current, update_interval, remote_interval
+        ):
+            due += remote
+            self._remote_sent = current
         if not due:
             return None
-        self._number += 1
+        self._sequence += 1
         ages = {
             k: v // clock_module.MILLISECOND
             for k, v in self.recovery_ages.items()
         }
-        head = (self._host, self._incarnation, self._number, counts)
+        head = (
+            self._host,
+            self._incarnation,
+            self._sequence,
+            in_flight_counts,
+        )
         data = orjson.dumps([*head, *update[:-1], ages])
         if len(data) > MAX_DATAGRAM_BYTES:
             return None
         return OutgoingUpdate(data=data, addresses=due)
 
     def _update_fields(self) -> tuple[object, ...]:
-        """Return what all peers are told soon after it changes."""
+        """Return the fields whose changes go to all peers equally soon."""
         return (
             self.plan_offset,
             self.token,
@@ -319,31 +342,33 @@
             sorted(self.recovery_ages),
         )
 
-    def _by_distance(
+    def _local_and_remote_addresses(
         self,
     ) -> tuple[list[settings.TcpAddress], list[settings.TcpAddress]]:
-        """Return the peers of the own zone, and those of known others."""
-        near: list[settings.TcpAddress] = []
-        far: list[settings.TcpAddress] = []
+        """Return the peers of the same or an unknown zone, and all others."""
+        local: list[settings.TcpAddress] = []
+        remote: list[settings.TcpAddress] = []
         for host, address in self._addresses.items():
             peer = self._peers.get(host)
-            told = peer.update if peer is not None else None
-            is_far = told is not None and told.zone != self._zone
-            (far if is_far else near).append(address)
-        return near, far
+            last_update = peer.update if peer is not None else None
+            is_remote = (
+                last_update is not None and last_update.zone != self._zone
+            )
+            (remote if is_remote else local).append(address)
+        return local, remote
 
     def _is_due(
         self,
         sent: _Sent,
-        sending: _Sent,
-        update_wait: datetime.timedelta,
-        counts_wait: datetime.timedelta,
+        current: _Sent,
+        update_interval: datetime.timedelta,
+        in_flight_interval: datetime.timedelta,
     ) -> bool:
-        if sent.at is None or sending.at is None:
+        if sent.at is None or current.at is None:
             return True
-        wait = LEADER_INTERVAL if self.token else IDLE_INTERVAL
-        if sent.counts != sending.counts:
-            wait = min(wait, counts_wait)
-        if sent.update != sending.update:
-            wait = min(wait, update_wait)
-        return sending.at - sent.at >= wait
+        interval = LEADER_INTERVAL if self.token else IDLE_INTERVAL
+        if sent.in_flight_counts != current.in_flight_counts:
+            interval = min(interval, in_flight_interval)
+        if sent.update != current.update:
+            interval = min(interval, update_interval)
+        return current.at - sent.at >= interval
--- a/src/aspenfold/_internal/gateway/ports.py
+++ b/src/aspenfold/_internal/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the platform, as interfaces."""
+"""Interfaces of the platform that the gateway uses."""
 
 from collections import abc
 import dataclasses
@@ -11,35 +11,35 @@
 
 
 class StoreUnavailable(Exception):
-    """The store did not answer, or would not; a write may have run."""
+    """The store did not answer or refused; a write may have been done."""
 
 
 class HistoryTrimmed(Exception):
-    """The records asked for are gone; read the newest ones.
+    """The requested records were trimmed; read the newest ones instead.
 
     ``first`` is the offset of the oldest record that is kept.
     """
 
     def __init__(self, *, first: int = 0) -> None:
-        super().__init__(f'the oldest record kept is {first}')
+        super().__init__(f'records before offset {first} were trimmed')
         self.first = first
 
 
 class EngineUnavailable(Exception):
-    """An engine did not answer, or not what it should."""
+    """An engine did not answer, or its answer is invalid."""
 
 
 class AppendConflict(Exception):
-    """The partition does not end where the writer expected."""
+    """The topic does not end at the offset that the writer expected."""
 
     def __init__(self, *, end: int) -> None:
-        super().__init__(f'the partition ends at {end}')
+        super().__init__(f'the topic ends at offset {end}')
         self.end = end
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Record:
-    """A record of a keyed topic; ``value`` None removes the key."""
+    """A record of a keyed topic; a ``value`` of None removes the key."""
 
     offset: int
     key: str
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Page:
-    """Records, and the offset at which the partition ends."""
+    """Records of a topic that ends at the offset ``end``."""
 
     records: tuple[Record, ...]
     end: int
@@ -57,7 +57,7 @@
 class Store(typing.Protocol):
     """Keyed topics of the platform's store.
 
-    All calls raise :class:`StoreUnavailable`.
+    All coroutines raise :class:`StoreUnavailable` if a call fails.
     """
 
     async def newest(self, topic: str) -> Page:
@@ -68,60 +68,62 @@
     ) -> Page:
         """Return records from ``offset``; wait up to ``wait`` for one.
 
-        Raises :class:`HistoryTrimmed`.
+        Raises :class:`HistoryTrimmed` if they are not kept any more.
         """
 
     async def append(
         self, topic: str, key: str, value: bytes, expected_offset: int
     ) -> int:
-        """Append a record if the topic ends there; return its offset.
+        """Append a record at ``expected_offset``; return its offset.
 
-        Raises :class:`AppendConflict`, with nothing appended.
+        Raises :class:`AppendConflict` if the topic ends elsewhere; nothing
+        is appended then.
         """
 
     async def put(self, topic: str, key: str, value: bytes) -> int:
-        """Append a record wherever the topic ends; return its offset."""
+        """Append a record unconditionally; return its offset."""
 
     def reset_connections(self) -> None:
-        """Give up calls in progress; the path to the store was cut."""
+        """Cancel calls in progress and close connections."""
 
 
 class Engine(typing.Protocol):
-    """Model engines, by the address of their endpoint.
+    """Model engines, called at the address of their endpoint.
 
-    :meth:`report` and :meth:`counts` raise :class:`EngineUnavailable`.
+    All methods but :meth:`order` raise :class:`EngineUnavailable`.
     """
 
     async def report(self, host: str, port: int) -> rank_protocol.Report:
-        """Return a rank's state."""
+        """Return a rank's report."""
 
     async def counts(self, host: str, port: int) -> rank_protocol.Counts:
-        """Return how often a rank's requests chose each expert."""
+        """Return how often each expert was chosen by a rank's requests."""
 
-    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
+    async def rank_map(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that a rank uses."""
 
     async def order(
         self, host: str, port: int, order: rank_protocol.Order
     ) -> rank_protocol.Answer:
-        """Give a rank an order."""
+        """Send a rank an order; return ``Answer.NONE`` without an answer."""
 
 
 class Forwarder(typing.Protocol):
-    """Calls of an engine as they stand, for the agent beside it."""
+    """Forwards unchanged calls to an engine, for the agent on its host."""
 
     async def forward(
         self, host: str, port: int, target: bytes, body: bytes = b''
     ) -> tuple[int, bytes]:
-        """Return an answer's status and body; orders have a ``body``.
+        """Call ``target`` and return the response's status and body.
 
-        Raises :class:`EngineUnavailable`.
+        A call with a ``body`` is a POST.  Raises
+        :class:`EngineUnavailable` if there is no response.
         """
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Platform:
-    """The platform as the gateway sees it."""
+    """Everything that the gateway needs of the platform."""
 
     store: Store
     plan_topic: str
--- a/src/aspenfold/_internal/gateway/rank_client.py
+++ b/src/aspenfold/_internal/gateway/rank_client.py
@@ -1,20 +1,17 @@
-"""Calls a group's ranks: through the agent on their host, or directly.
-
-An engine's counts and reports cost nothing from its own host; from
-another one they are paid for, and reading counts makes the whole group
-pause.  So a leader asks the rank's agent, which passes the question on
-unchanged, and the engine itself where no agent answers.
-
-Orders to copy experts go the same way, which saves the price of half of
-all orders; an agent that does not answer one within a tenth of a second is
-passed over, so that the order's next sending goes to the engine itself.
-That an agent may wake up and pass an order on much later changes nothing:
-engines themselves may carry orders out late, and
-:mod:`aspenfold._internal.expertmaps.switch` counts on it.
-
-All other orders are given while a pass is held, and go to the engines
-themselves: with them through agents, one that froze kept its group standing
-for 4.6 s, and what had waited kept others late for 6 s more.
+"""Calls a group's ranks, through the agent on their host or directly.
+
+Reading an engine's report or counts is free from its own host.  From another
+host it costs money, and reading counts makes the whole group pause.  So reads
+go through the rank's agent, which forwards them unchanged, and to the engine
+itself if no agent answers.
+
+Orders to copy experts go the same way.  If an agent does not answer one
+within ``AGENT_ORDER_TIMEOUT``, the next attempt goes to the engine itself.
+An agent that forwards an order late does no harm, see
+:mod:`aspenfold._internal.expertmaps.map_switch`.
+
+All other orders are given while a pass is held, and go directly to the
+engines, so that a frozen agent cannot make its group unavailable.
 """
 
 import asyncio
@@ -31,39 +28,40 @@
 from aspenfold._internal.observability import events
 
 AGENT_RETRY_DELAY = datetime.timedelta(seconds=2)
-"""How long an agent that did not answer is passed over: a process that
-ended is back within about a second."""
+"""How long an agent that did not answer is skipped; it restarts in about a
+second."""
 
 AGENT_ORDER_TIMEOUT = datetime.timedelta(milliseconds=100)
-"""How long an agent may take for an order, which takes it some 5 ms."""
+"""How long an agent may take to forward an order, which needs some 5 ms."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Agent:
-    """What is known of the agent on a rank's host.
+class _AgentState:
+    """State of the agent on one host.
 
-    It is passed over for all calls, or for orders only, until a time.
+    It is not called before ``skipped_until``, and gets no orders before
+    ``skipped_for_orders_until``.
     """
 
-    answered: bool = False
-    passed_over_until: datetime.datetime | None = None
-    orders_over_until: datetime.datetime | None = None
+    has_answered: bool = False
+    skipped_until: datetime.datetime | None = None
+    skipped_for_orders_until: datetime.datetime | None = None
 
 
 T = typing.TypeVar('T')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Asked(typing.Generic[T]):
-    """An answer, how long it took, and whether an agent passed it on."""
+class _Reply(typing.Generic[T]):
+    """An answer, how long it took, and whether it came through an agent."""
 
     answer: T
-    took: datetime.timedelta
-    by_agent: bool
+    duration: datetime.timedelta
+    via_agent: bool
 
 
 class RankClient:
-    """Calls ranks for one leader."""
+    """Calls the ranks of groups."""
 
     def __init__(
         self,
@@ -72,82 +70,88 @@
         clock: clock_module.Clock,
         agent_port: int,
     ) -> None:
-        """Agents listen on ``agent_port``; 0: there are none."""
+        """``agent_port`` is the port of all agents, 0 if there are none."""
         self._engine = engine
         self._clock = clock
         self._agent_port = agent_port
-        self._agents: dict[str, _Agent] = {}
+        self._agents: dict[str, _AgentState] = {}
 
     async def report(
         self, endpoint: directory.Endpoint, *, agent_only: bool = False
     ) -> rank_protocol.Report | None:
-        """Return a rank's report, None if it is silent.
+        """Return a rank's report, None if there is no answer.
 
-        ``agent_only``: only through its agent.
+        With ``agent_only``, call only its agent, which is free.
         """
-        asked = await self._ask(
+        reply = await self._call(
             endpoint, self._engine.report, agent_only=agent_only
         )
-        if asked is None:
+        if reply is None:
             return None
-        age = asked.took
-        if not asked.by_agent:
+        age = reply.duration
+        if not reply.via_agent:
             age += rank_protocol.MAX_REPORT_AGE
-        return dataclasses.replace(asked.answer, age=age)
+        return dataclasses.replace(reply.answer, age=age)
 
     async def counts(
         self, endpoint: directory.Endpoint, *, agent_only: bool = False
     ) -> rank_protocol.Counts | None:
-        """Return a rank's counts, None if it is silent.
+        """Return a rank's expert counts, None if there is no answer.
 
-        ``agent_only``: only through its agent.
+        With ``agent_only``, call only its agent, which is free.
         """
-        asked = await self._ask(
+        reply = await self._call(
             endpoint, self._engine.counts, agent_only=agent_only
         )
-        return None if asked is None else asked.answer
+        return None if reply is None else reply.answer
 
-    async def held(
+    async def rank_map(
         self, endpoint: directory.Endpoint
     ) -> rank_protocol.RankMap | None:
-        """Return the experts that a rank uses, None if it is silent."""
-        asked = await self._ask(endpoint, self._engine.held)
-        return None if asked is None else asked.answer
+        """Return the experts that a rank uses, None if it does not answer."""
+        reply = await self._call(endpoint, self._engine.rank_map)
+        return None if reply is None else reply.answer
 
-    async def _ask(
+    async def _call(
         self,
         endpoint: directory.Endpoint,
-        question: abc.Callable[[str, int], abc.Awaitable[T]],
+        method: abc.Callable[[str, int], abc.Awaitable[T]],
         *,
         agent_only: bool = False,
-    ) -> _Asked[T] | None:
-        """Ask the rank's agent, then its engine; None if both are silent."""
+    ) -> _Reply[T] | None:
+        """Call the rank's agent, then its engine; None without an answer."""
         for address in self._addresses(endpoint):
-            by_agent = address.port == self._agent_port
-            if agent_only and not by_agent:
+            via_agent = address.port == self._agent_port
+            if agent_only and not via_agent:
                 return None
-            asked_at = self._clock.now()
+            called_at = self._clock.now()
             try:
-                answer = await question(address.host, address.port)
+                answer = await method(address.host, address.port)
             except ports.EngineUnavailable as exc:
-                self._silent(address, exc)
+                self._on_no_answer(address, exc)
                 continue
-            self._answered(address)
-            took = self._clock.now() - asked_at
-            return _Asked(answer=answer, took=took, by_agent=by_agent)
+            self._on_answer(address)
+            duration = self._clock.now() - called_at
+            return _Reply(
+                answer=answer, duration=duration, via_agent=via_agent
+            )
         return None
 
     async def order(
         self, endpoint: directory.Endpoint, order: rank_protocol.Order
     ) -> rank_protocol.Answer:
-        """Give an order once; one without an answer may be taken."""
+        """Send an order once and return the answer.
+
+        After ``Answer.NONE`` the order may still be executed.
+        """
         address, direct = self._addresses(endpoint)[0], endpoint.listing
-        by_agent = address.port == self._agent_port
-        if order.op is not rank_protocol.Op.PREPARE or self._orders_over(
-            address
+        via_agent = address.port == self._agent_port
+        if (
+            order.op is not rank_protocol.Op.PREPARE
+            or self._skips_agent_for_orders(address)
         ):
-            by_agent = False
-        if not by_agent:
+            via_agent = False
+        if not via_agent:
             return await self._engine.order(direct.host, direct.port, order)
         try:
             async with asyncio.timeout(AGENT_ORDER_TIMEOUT.total_seconds()):
@@ -157,53 +161,56 @@
         except TimeoutError:
             answer = rank_protocol.Answer.NONE
         if answer is rank_protocol.Answer.NONE:
-            # The agent's silence or its engine's: that cannot be told.
-            known = self._agents.setdefault(address.host, _Agent())
-            known.orders_over_until = self._clock.now() + AGENT_RETRY_DELAY
+            # Either the agent or its engine did not answer.
+            agent_state = self._agents.setdefault(address.host, _AgentState())
+            agent_state.skipped_for_orders_until = (
+                self._clock.now() + AGENT_RETRY_DELAY
+            )
         return answer
 
-    # -- which way -------------------------------------------------------
-
     def _addresses(
         self, endpoint: directory.Endpoint
     ) -> list[settings.TcpAddress]:
+        """Return where to call a rank, the first address first."""
         listing = endpoint.listing
         direct = settings.TcpAddress(host=listing.host, port=listing.port)
-        if not self._by_agent(listing.host):
+        if not self._uses_agent(listing.host):
             return [direct]
         agent = settings.TcpAddress(host=listing.host, port=self._agent_port)
         return [agent, direct]
 
-    def _by_agent(self, host: str) -> bool:
+    def _uses_agent(self, host: str) -> bool:
         if not self._agent_port:
             return False
-        known = self._agents.get(host)
-        if known is None or known.passed_over_until is None:
+        agent_state = self._agents.get(host)
+        if agent_state is None or agent_state.skipped_until is None:
             return True
-        return known.passed_over_until <= self._clock.now()
+        return agent_state.skipped_until <= self._clock.now()
 
-    def _orders_over(self, address: settings.TcpAddress) -> bool:
-        known = self._agents.get(address.host)
-        if known is None or known.orders_over_until is None:
+    def _skips_agent_for_orders(self, address: settings.TcpAddress) -> bool:
+        agent_state = self._agents.get(address.host)
+        if agent_state is None or agent_state.skipped_for_orders_until is None:
             return False
-        return known.orders_over_until > self._clock.now()
+        return agent_state.skipped_for_orders_until > self._clock.now()
 
-    def _silent(self, address: settings.TcpAddress, exc: Exception) -> None:
+    def _on_no_answer(
+        self, address: settings.TcpAddress, exc: Exception
+    ) -> None:
         if address.port != self._agent_port:
             return
-        known = self._agents.setdefault(address.host, _Agent())
-        known.passed_over_until = self._clock.now() + AGENT_RETRY_DELAY
-        if known.answered:
-            known.answered = False
+        agent_state = self._agents.setdefault(address.host, _AgentState())
+        agent_state.skipped_until = self._clock.now() + AGENT_RETRY_DELAY
+        if agent_state.has_answered:
+            agent_state.has_answered = False
             events.emit(
                 events.Event.AGENT_LOST,
                 agent=str(address),
                 error=str(exc)[:200],
             )
 
-    def _answered(self, address: settings.TcpAddress) -> None:
+    def _on_answer(self, address: settings.TcpAddress) -> None:
         if address.port != self._agent_port:
             return
-        known = self._agents.setdefault(address.host, _Agent())
-        known.passed_over_until = None
-        known.answered = True
+        agent_state = self._agents.setdefault(address.host, _AgentState())
+        agent_state.skipped_until = None
+        agent_state.has_answered = True
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -134,7 +134,7 @@
             epoch=found.epoch, counts=tuple(found.counts)
         )
 
-    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
+    async def rank_map(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that the rank uses."""
         body = await self._get(host, port, MAP_TARGET)
         try:
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -84,7 +84,7 @@
         await self._call(port)
         return REPORT
 
-    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
+    async def rank_map(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return no experts."""
         await self._call(port)
         return rank_protocol.RankMap(version=0, experts=())
