--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -4,14 +4,14 @@
 import random
 
 from aspenfold._internal.gateway import admission
-from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import directory as directory_module
 from aspenfold._internal.gateway import forwarding
+from aspenfold._internal.gateway import header_names as header_names_module
 from aspenfold._internal.gateway import outage
 from aspenfold._internal.gateway import outages
 from aspenfold._internal.gateway import plan as plan_module
+from aspenfold._internal.gateway import plan_index as plan_index_module
 from aspenfold._internal.gateway import settings
-from aspenfold._internal.gateway import table as table_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.kernel import registry
 from aspenfold._internal.observability import events
@@ -35,19 +35,19 @@
         self,
         *,
         cfg: settings.GatewaySettings,
-        dialect: dialect_module.HeaderNames,
+        header_names: header_names_module.HeaderNames,
         clock: clock_module.Clock,
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
-        self.names = dialect
+        self.header_names = header_names
         self.clock = clock
         self.rng = rng
-        self.forwarding = forwarding.Forwarding(dialect=dialect)
+        self.forwarding = forwarding.Forwarding(header_names=header_names)
         self.directory = directory_module.Directory()
         self.metrics = metrics_module.Metrics()
-        self.table: table_module.Table | None = None
-        self.adopted_at: datetime.datetime | None = None
+        self.plan_index: plan_index_module.PlanIndex | None = None
+        self.plan_applied_at: datetime.datetime | None = None
         self.draining = False
         self.refusing = False
         self._budgets: dict[str, shared_budget.SharedBudget] = {}
@@ -60,22 +60,22 @@
     @property
     def limits(self) -> plan_module.Limits:
         """The limits on callers that are in force."""
-        if self.table is None:
+        if self.plan_index is None:
             return plan_module.DEFAULT_LIMITS
-        return self.table.plan.limits
+        return self.plan_index.plan.limits
 
     @property
     def plan_version(self) -> int:
         """The version of the plan in force, 0 for none."""
-        return self.table.plan.version if self.table else 0
+        return self.plan_index.plan.version if self.plan_index else 0
 
     def adopt(self, plan: plan_module.Plan) -> None:
         """Put a plan in force; an older one than now is left out."""
-        table = self.table
-        if table is not None and plan.version <= table.plan.version:
+        plan_index = self.plan_index
+        if plan_index is not None and plan.version <= plan_index.plan.version:
             return
-        self.table = table_module.Table(plan=plan)
-        self.adopted_at = self.clock.now()
+        self.plan_index = plan_index_module.PlanIndex(plan=plan)
+        self.plan_applied_at = self.clock.now()
         events.emit(
             events.Event.PLAN_IN_FORCE,
             version=plan.version,
@@ -85,7 +85,7 @@
 
     # -- choices ---------------------------------------------------------
 
-    def service_of(self, route: plan_module.Route) -> str:
+    def choose_service(self, route: plan_module.Route) -> str:
         """Return the service for one request, by the route's weights."""
         if len(route.targets) == 1:
             return route.targets[0].service
@@ -96,16 +96,16 @@
 
     def has_group(self, service: str) -> bool:
         """Return whether the service's endpoints are ranks of groups."""
-        if self.table is None:
+        if self.plan_index is None:
             return False
-        known = self.table.plan.services.get(service)
+        known = self.plan_index.plan.services.get(service)
         return known is not None and known.group is not None
 
     def group_services(self) -> list[str]:
         """Return the services whose endpoints are ranks of groups."""
-        if self.table is None:
+        if self.plan_index is None:
             return []
-        services = self.table.plan.services
+        services = self.plan_index.plan.services
         return [name for name in services if self.has_group(name)]
 
     def is_overloaded(
@@ -116,24 +116,24 @@
             return False
         now = self.clock.now()
         found = self._running(self.directory.routable(service, now))
-        since = self.outages.since(found)
-        return admission.refuses(route, left, found, since)
+        since = self.outages.time_since_recovery(found)
+        return admission.should_refuse(route, left, found, since)
 
-    def standing(self, service: str) -> outage.Outage | None:
+    def current_outage(self, service: str) -> outage.Outage | None:
         """Return the outage to wait for, None if some group runs."""
         if not self.has_group(service):
             return None
         found = self.directory.routable(service, self.clock.now())
-        return self.outages.next_to_open(found)
+        return self.outages.first_to_recover(found)
 
     def _running(
         self, endpoints: list[directory_module.Endpoint]
     ) -> list[directory_module.Endpoint]:
         """Return those whose group runs; all of them if none does."""
-        running = [e for e in endpoints if not self.outages.stands(e)]
+        running = [e for e in endpoints if not self.outages.is_unavailable(e)]
         return running or endpoints
 
-    def choose(
+    def choose_endpoint(
         self, service: str, avoid: set[str]
     ) -> directory_module.Endpoint | None:
         """Return the endpoint for an attempt, None if there is none."""
@@ -160,15 +160,15 @@
 
     def plan_age(self) -> datetime.timedelta | None:
         """Return how long the plan has been in force, None for none."""
-        if self.adopted_at is None:
+        if self.plan_applied_at is None:
             return None
-        return self.clock.now() - self.adopted_at
+        return self.clock.now() - self.plan_applied_at
 
-    def least_budget(self) -> float:
+    def min_retry_budget(self) -> float:
         """Return the fewest attempts left of any service's budget."""
         return min((b.available for b in self._budgets.values()), default=0.0)
 
-    def budget(self, service: str) -> shared_budget.SharedBudget:
+    def retry_budget(self, service: str) -> shared_budget.SharedBudget:
         """Return the service's retry budget."""
         known = self._budgets.get(service)
         if known is None:
--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -57,7 +57,8 @@
         all_zones = self._all_zones_polled_at is None
         if self._all_zones_polled_at is not None:
             all_zones = (
-                now - self._all_zones_polled_at >= sampling.GROUP_INTERVAL
+                now - self._all_zones_polled_at
+                >= sampling.GROUP_COUNT_INTERVAL
             )
         if all_zones:
             self._all_zones_polled_at = now
@@ -77,7 +78,7 @@
         self, endpoints: abc.Mapping[int, directory.Endpoint]
     ) -> datetime.timedelta:
         if self.agents_answered:
-            return sampling.interval(endpoints, self._zone)
+            return sampling.count_interval(endpoints, self._zone)
         return (
             FAST_PAID_POLL_INTERVAL
             if self._planner.sample_fast
@@ -89,30 +90,30 @@
     ) -> None:
         """Read counts through agents, or directly if no agent answers."""
         self.agents_answered = await self._sample(
-            endpoints, via_agents=True, all_zones=all_zones
+            endpoints, agent_only=True, all_zones=all_zones
         )
         if not self.agents_answered:
-            await self._sample(endpoints, via_agents=False, all_zones=False)
+            await self._sample(endpoints, agent_only=False, all_zones=False)
         self._planner.update_estimate()
 
     async def _sample(
         self,
         endpoints: abc.Mapping[int, directory.Endpoint],
         *,
-        via_agents: bool,
+        agent_only: bool,
         all_zones: bool,
     ) -> bool:
         """Read the chosen ranks' counts; return whether any rank answered."""
-        chosen = sampling.chosen(
+        chosen = sampling.choose_ranks(
             endpoints,
             zone=self._zone,
-            free=via_agents,
-            turn=self._polls,
-            whole=all_zones,
+            agent_only=agent_only,
+            poll=self._polls,
+            all_zones=all_zones,
         )
         read = await asyncio.gather(
             *(
-                self._ranks.counts(endpoints[r], agent_only=via_agents)
+                self._ranks.counts(endpoints[r], agent_only=agent_only)
                 for r in chosen
             )
         )
--- a/src/aspenfold/_internal/gateway/endpoint_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -163,7 +163,7 @@
         known = self._directory.get(listing.name)
         if known is None or known.listing != listing:
             self._changed.append(record)
-        if self._directory.listed(listing):
+        if self._directory.update_listing(listing):
             events.emit(
                 events.Event.ENDPOINT_LISTED,
                 endpoint=listing.name,
@@ -182,8 +182,8 @@
             del self._last_offsets[oldest]
 
     def _remove(self, name: str, now: datetime.datetime) -> None:
-        is_removed = self._directory.removed(
-            name, now, store_sound=self._health.is_stable(now)
+        is_removed = self._directory.remove_listing(
+            name, now, store_available=self._health.is_stable(now)
         )
         if is_removed:
             self._on_removed(name)
@@ -200,7 +200,7 @@
         """Remove endpoints that are still missing after a store outage."""
         if self._health.lost or self._health.failed_at is None:
             return
-        lost = self._directory.settle(
+        lost = self._directory.remove_missing(
             self._clock.now(), self._health.failed_at
         )
         for name in lost:
@@ -231,8 +231,8 @@
             )
         for name in removed_names:
             # The reader already waited for entries missing after an outage.
-            if self._directory.removed(
-                name, self._clock.now(), store_sound=True
+            if self._directory.remove_listing(
+                name, self._clock.now(), store_available=True
             ):
                 self._on_removed(name)
         self._next_offset = max(next_offset, relayed.end)
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -151,11 +151,11 @@
 
     async def _wait_for_discovery(self) -> None:
         """Wait until the ranks should be searched for again."""
-        if self._outage.lasts:
+        if self._outage.is_ongoing:
             await self._outage.wait(OUTAGE_DISCOVERY_INTERVAL)
             return
         delay = DISCOVERY_INTERVAL
-        if self._outage.ended_lately(self._clock.now()) is not None:
+        if self._outage.recent_recovery_age(self._clock.now()) is not None:
             delay = RECOVERY_DISCOVERY_INTERVAL
         await asyncio.sleep(delay.total_seconds())
 
@@ -218,7 +218,7 @@
         now = self._clock.now()
         self._start_actions(switch, switch.tick(now))
         # After an outage the group runs in a new epoch.
-        is_unavailable = self._outage.lasts and not switch.may_hold_pass
+        is_unavailable = self._outage.is_ongoing and not switch.may_hold_pass
         if is_unavailable or switch.state is map_switch.State.LOST:
             self._on_epoch_lost(switch)
             return
@@ -298,7 +298,7 @@
                 slowdowns[self._endpoints[rank].name] = round(slowdown, 2)
         if slowdowns != self._peers.slowdowns:
             self._peers.slowdowns = slowdowns
-            self._members.take_paces(slowdowns)
+            self._members.set_slowdowns(slowdowns)
             events.emit(
                 events.Event.RANKS_SLOW, group=self._group, paces=slowdowns
             )
--- a/src/aspenfold/_internal/gateway/group_monitor.py
+++ b/src/aspenfold/_internal/gateway/group_monitor.py
@@ -81,7 +81,7 @@
         rank_by_group = {
             (e.listing.service, e.group): e
             for e in members
-            if self._core.outages.stands(e)
+            if self._core.outages.is_unavailable(e)
         }
         reports = await asyncio.gather(
             *(
@@ -95,4 +95,4 @@
             if report is None or report.age > map_switch.MAX_FRESH_AGE:
                 continue
             if report.open and report.group == group:
-                self._core.outages.runs(service, group)
+                self._core.outages.record_recovery(service, group)
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -188,7 +188,7 @@
         self._add_in_flight(update, 1)
         peer.update = update
         if update.token:
-            self._members.take_paces(update.slowdowns)
+            self._members.set_slowdowns(update.slowdowns)
         return update
 
     def is_leader_alive(self, now: datetime.datetime) -> bool:
@@ -273,7 +273,7 @@
     def _add_to_endpoint(self, name: str, count: int) -> None:
         endpoint = self._members.get(name)
         if endpoint is not None:
-            endpoint.elsewhere = max(0, endpoint.elsewhere + count)
+            endpoint.peer_in_flight = max(0, endpoint.peer_in_flight + count)
 
     def expire_silent(self, now: datetime.datetime) -> None:
         """Ignore the requests in flight of peers that timed out."""
