--- a/src/aspenfold/_internal/network/endpoint_client.py
+++ b/src/aspenfold/_internal/network/endpoint_client.py
@@ -18,7 +18,7 @@
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.network import http
 
-STREAM_END = '[STREAM_END]'
+STREAM_END = '[DONE]'
 """Data of the event with which an engine ends a complete stream."""
 
 STREAM_CHUNK_BYTES = 4096
