--- a/src/aspenfold/_internal/network/agent_client.py
+++ b/src/aspenfold/_internal/network/agent_client.py
@@ -1,4 +1,4 @@
-"""Calls agents by grpclib; one channel an agent, made when needed."""
+"""gRPC client of agents and of other entries."""
 
 import asyncio
 from collections import abc
@@ -23,11 +23,14 @@
     grpclib.exceptions.StreamTerminatedError,
     grpclib.exceptions.ProtocolError,
 )
-"""What a broken or refused call raises."""
+"""Exceptions that a failed call raises."""
 
 
 class AnswerStreamLost(Exception):
-    """The stream broke; ``sent``: the agent may have the request."""
+    """The stream ended early.
+
+    ``sent`` is False only if the request cannot have reached the agent.
+    """
 
     def __init__(self, *, sent: bool) -> None:
         super().__init__('the answer stream was lost')
@@ -35,7 +38,7 @@
 
 
 class AgentClients:
-    """Channels to agents by ``(address, port)``."""
+    """Calls agents and entries, over one channel for each address."""
 
     def __init__(self, *, system_key: str) -> None:
         self._metadata = auth.metadata(system_key)
@@ -44,9 +47,9 @@
     async def execute(
         self, address: str, port: int, request: frames.AttemptRequest
     ) -> abc.AsyncIterator[frames.Frame]:
-        """Yield the frames of one attempt.
+        """Run or join an attempt, and yield its frames.
 
-        Raises AnswerStreamLost when the call breaks.
+        Raises AnswerStreamLost.
         """
         stub = self._stub(address, port)
         await self._connect(address, port)
@@ -65,14 +68,14 @@
     async def report(
         self, address: str, port: int, request: pb.ReportRequest
     ) -> pb.ReportReply:
-        """Ask for a report."""
+        """Exchange reports with an agent.  Raises one of CALL_ERRORS."""
         stub = self._stub(address, port)
         return await stub.Report(
             request, timeout=UNARY_TIMEOUT_S, metadata=self._metadata
         )
 
     async def cancel(self, address: str, port: int, attempt_id: str) -> None:
-        """Say that nobody waits for an attempt; best effort."""
+        """Ask an agent to cancel an attempt; ignore errors."""
         try:
             await self._stub(address, port).Cancel(
                 pb.CancelRequest(attempt_id=attempt_id),
@@ -85,7 +88,7 @@
     async def send_group_message(
         self, address: str, port: int, message: messages.Message
     ) -> None:
-        """Send a message of the expert map protocol; best effort."""
+        """Send a message of the expert map protocol; ignore errors."""
         try:
             await self._stub(address, port).Group(
                 codec.group_to_pb(message),
@@ -98,7 +101,10 @@
     async def fetch_fleet(
         self, address: str, port: int, have_offset: int
     ) -> pb.FleetReply:
-        """Ask a peer entry for a fleet state later than ``have_offset``."""
+        """Ask another entry for a fleet state later than ``have_offset``.
+
+        Raises one of CALL_ERRORS.
+        """
         channel = self._channel(address, port)
         return await rpc.PeerStub(channel).Fleet(
             pb.FleetRequest(have_offset=have_offset),
@@ -113,8 +119,8 @@
         self._channels.clear()
 
     async def _connect(self, address: str, port: int) -> None:
-        # grpclib connects inside the call; connecting first tells a
-        # request that never left from one whose fate is unknown.
+        # grpclib would connect inside the call.  Connecting first shows
+        # whether a failed request may have been sent.
         channel = self._channel(address, port)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -1,4 +1,4 @@
-"""The agent's RPC service: decodes, asks the kernel, encodes."""
+"""The agent's RPC service."""
 
 import asyncio
 import typing
@@ -17,60 +17,63 @@
 
 
 class AgentHandler(typing.Protocol):
-    """What the service needs of the agent's process."""
+    """The agent's process as the service uses it.
+
+    A stream id identifies one Execute call.
+    """
 
     name: str
     kernel: agent_kernel.AgentKernel
 
     def execute(
         self,
-        number: int,
+        stream_id: int,
         queue: frame_queue.FrameQueue,
         req: frames.AttemptRequest,
     ) -> None:
-        """Take an attempt whose frames go to ``queue``."""
+        """Start or join an attempt; its frames are put into ``queue``."""
 
-    def on_stream_closed(self, number: int) -> None:
-        """The reader of a leg is gone or has all."""
+    def on_stream_closed(self, stream_id: int) -> None:
+        """Handle the end of an answer stream, complete or not."""
 
     def cancel(self, attempt_id: str) -> None:
-        """Nobody waits for the attempt."""
+        """Cancel an attempt that no caller waits for."""
 
     def on_group_message(self, message: messages.Message) -> None:
-        """A message of the expert map protocol arrived."""
+        """Handle a message of the expert map protocol."""
 
     def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
-        """Take an entry's news and give the report."""
+        """Apply an entry's report request and return this agent's report."""
 
 
 class AgentService(rpc.AgentBase):
-    """The generated service, served by an agent's handler."""
+    """Decodes calls, passes them to the handler, and encodes results."""
 
     def __init__(self, *, handler: AgentHandler) -> None:
         self._handler = handler
-        self._next_leg = 1
+        self._next_stream_id = 1
 
     async def Execute(self, stream: ExecuteStream) -> None:
-        """Serve one leg until its frames end."""
+        """Run or join an attempt, and send its frames until they end."""
         message = await stream.recv_message()
         if message is None:
             return
-        number = self._next_leg
-        self._next_leg += 1
+        stream_id = self._next_stream_id
+        self._next_stream_id += 1
         queue = frame_queue.FrameQueue()
         request = codec.request_from_pb(message)
-        self._handler.execute(number, queue, request)
+        self._handler.execute(stream_id, queue, request)
         try:
-            while taken := await queue.take():
-                for frame in taken:
+            while batch := await queue.take():
+                for frame in batch:
                     await stream.send_message(codec.frame_to_pb(frame))
-                # Lets frames that arrive together gather into one.
+                # Let frames that arrive together be merged.
                 await asyncio.sleep(0)
         finally:
-            self._handler.on_stream_closed(number)
+            self._handler.on_stream_closed(stream_id)
 
     async def Cancel(self, stream: ExecuteStream) -> None:
-        """Stop work that nobody waits for."""
+        """Cancel an attempt that no caller waits for."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -78,14 +81,14 @@
         await stream.send_message(pb.CancelReply())
 
     async def Report(self, stream: ExecuteStream) -> None:
-        """Exchange news with an entry."""
+        """Exchange reports with an entry."""
         message = await stream.recv_message()
         if message is None:
             return
         await stream.send_message(self._handler.on_report(message))
 
     async def Group(self, stream: ExecuteStream) -> None:
-        """Take a message of the expert map protocol."""
+        """Receive a message of the expert map protocol."""
         message = await stream.recv_message()
         if message is None:
             return
--- a/src/aspenfold/platform/__init__.py
+++ b/src/aspenfold/platform/__init__.py
@@ -1,7 +1,6 @@
-"""Translates between aspenfold and its users' platform.
+"""Adapters between aspenfold and its users' platform.
 
-Modules here decode the platform's messages into aspenfold's own types
-and back.  They hold no decision, no state beyond a connection and no
-retry policy.  Nothing else in the package knows a name that the
-platform uses on the wire.
+They translate the platform's messages to aspenfold's types and back.
+Only this package contains the platform's wire names.  It makes no
+decisions, does not retry, and holds no state except connections.
 """
--- a/src/aspenfold/platform/config.py
+++ b/src/aspenfold/platform/config.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration into a :class:`plan.Plan`."""
+"""Decodes the operators' configuration to a :class:`plan.Plan`."""
 
 import datetime
 import typing
@@ -8,34 +8,34 @@
 from aspenfold._internal.gateway import plan
 
 TOPIC = 'keyed.op'
-"""The operators' topic; only they can write to it."""
+"""The operators' topic; only operators can write to it."""
 
 KEY = 'config'
 
 
-class _Border(pydantic.BaseModel):
-    """Fields that this version does not know are ignored."""
+class _WireModel(pydantic.BaseModel):
+    """Base of the configuration's parts; unknown fields are ignored."""
 
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
 
-Millis = typing.Annotated[float, pydantic.Field(gt=0)]
+PositiveMillis = typing.Annotated[float, pydantic.Field(gt=0)]
 
 
-class _Cluster(_Border):
+class _Cluster(_WireModel):
     service: str
     weight: int = pydantic.Field(ge=0)
 
 
-class _Route(_Border):
+class _Route(_WireModel):
     name: str = ''
     host: str
     path_prefix: str
     kind: plan.Kind
-    timeout_ms: Millis
-    target_latency_ms: Millis
+    timeout_ms: PositiveMillis
+    target_latency_ms: PositiveMillis
     priority: int = 0
-    # Either one service, or a split by weight.
+    # One service, or several by weight.
     service: str = ''
     weighted_clusters: list[_Cluster] = []
     max_attempts: int = 1
@@ -44,7 +44,7 @@
     target_gap_ms: float = 0
 
     def decode(self) -> plan.Route:
-        """Return the route as the gateway's own type."""
+        """Return the route as the gateway's type."""
         targets = tuple(
             plan.Target(service=c.service, weight=c.weight)
             for c in self.weighted_clusters
@@ -65,34 +65,34 @@
         )
 
 
-class _Engine(_Border):
+class _Engine(_WireModel):
     slots: int = 0
     sets: int = 0
     experts: int = 0
-    # Places for experts on one rank, in each set.
+    # Expert slots on one rank, in each set of layers.
     placements: int = 0
-    # New experts that one map may bring to a rank, in each set.
+    # New experts that one map change may bring to a rank, in each set.
     spare: int = 0
     expert_mb: float = 0
-    # Megabits a second, of a rank's link to the others.
+    # Bandwidth in Mbit/s of a rank's link to the other ranks.
     link_mbps: float = 0
 
     @property
     def copy_time(self) -> datetime.timedelta:
-        """What a rank takes to copy one expert, zero if not told."""
+        """Time for a rank to copy one expert, zero if unknown."""
         if self.link_mbps <= 0:
             return datetime.timedelta(0)
         seconds = self.expert_mb * 8 / self.link_mbps
         return datetime.timedelta(seconds=seconds)
 
 
-class _Service(_Border):
+class _Service(_WireModel):
     name: str
     max_connections: int = 0
     engine: _Engine | None = None
 
     def decode(self) -> plan.Service:
-        """Return the service as the gateway's own type."""
+        """Return the service as the gateway's type."""
         engine = self.engine or _Engine()
         group = None
         if engine.sets:
@@ -111,14 +111,14 @@
         )
 
 
-class _Limits(_Border):
+class _Limits(_WireModel):
     max_header_bytes: int = pydantic.Field(gt=0)
     max_body_bytes: int = pydantic.Field(ge=0)
-    header_timeout_ms: Millis
-    idle_timeout_ms: Millis
+    header_timeout_ms: PositiveMillis
+    idle_timeout_ms: PositiveMillis
 
     def decode(self) -> plan.Limits:
-        """Return the limits as the gateway's own type."""
+        """Return the limits as the gateway's type."""
         return plan.Limits(
             header_bytes=self.max_header_bytes,
             body_bytes=self.max_body_bytes,
@@ -127,13 +127,13 @@
         )
 
 
-class _Tenant(_Border):
+class _Tenant(_WireModel):
     name: str
     api_keys: list[str] = []
     priority: int | None = None
 
 
-class _Config(_Border):
+class _Config(_WireModel):
     version: int
     routes: list[_Route] = []
     services: list[_Service] = []
@@ -142,9 +142,9 @@
 
 
 def decode(value: bytes) -> plan.Plan:
-    """Return the plan in a configuration record.
+    """Return the plan that a configuration record describes.
 
-    Raises ``ValueError`` that names the field if the record is not one.
+    Raises ValueError, naming the field, if the record is invalid.
     """
     config = _Config.model_validate_json(value)
     limits = plan.DEFAULT_LIMITS
--- a/src/aspenfold/platform/endpoint_records.py
+++ b/src/aspenfold/platform/endpoint_records.py
@@ -1,15 +1,15 @@
-"""Decodes the endpoints' own entries in the platform's store."""
+"""Decodes the records that endpoints keep in the platform's store."""
 
 import pydantic
 
 from aspenfold._internal.gateway import directory
 
 TOPIC = 'keyed.servers'
-"""The endpoints' topic; a record's key is the endpoint's name."""
+"""The endpoints' topic; the key of a record is the endpoint's name."""
 
 
 class _Entry(pydantic.BaseModel):
-    """One endpoint's entry; fields not named here are ignored."""
+    """An endpoint's record; unknown fields are ignored."""
 
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
@@ -17,16 +17,16 @@
     address: str
     zone: str = ''
     slots: int = 1
-    # "draining" from the moment that its end is planned.
+    # "draining" once the endpoint's shutdown is planned.
     state: str = 'ready'
-    # How much longer the endpoint stays slow after its start.
+    # Milliseconds until the endpoint reaches full speed after its start.
     cold_remaining_ms: float = 0
 
 
 def decode(name: str, value: bytes) -> directory.Listing:
-    """Return what an endpoint says of itself.
+    """Return the endpoint that a record describes.
 
-    Raises ``ValueError`` that names the field if the record is not one.
+    Raises ValueError, naming the field, if the record is invalid.
     """
     entry = _Entry.model_validate_json(value)
     host, _, port = entry.address.rpartition(':')
--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -1,4 +1,4 @@
-"""Speaks with model engines: reports, counts and map orders."""
+"""HTTP client of model engines: reports, expert counts and orders."""
 
 import asyncio
 
@@ -10,14 +10,12 @@
 from aspenfold._internal.network import http1_client
 
 CONNECT_TIMEOUT_S = 0.3
-"""As for requests: the longest round trip between zones is 3 ms."""
 
 CALL_TIMEOUT_S = 0.4
-"""Engines answer in a few milliseconds, or, when orders are late,
-never."""
+"""Engines respond within milliseconds or, to late orders, not at all."""
 
 MIN_SLOWDOWN = 0.1
-"""A faster rank than this is taken to report nonsense."""
+"""Reported slowdowns below this are implausible and raised to it."""
 
 REPORT_TARGET = b'/api/report'
 COUNTS_TARGET = b'/api/picked'
@@ -25,9 +23,9 @@
 ORDER_TARGET = b'/api/order'
 
 READ_TARGETS = frozenset({REPORT_TARGET, COUNTS_TARGET, MAP_TARGET})
-"""What leaders ask of an engine; beside these an agent passes on orders."""
+"""Targets that leaders read; agents forward only these and orders."""
 
-WIRE_OPS = {
+OP_NAMES = {
     rank_protocol.Op.PREPARE: 'prepare',
     rank_protocol.Op.ARM: 'arm',
     rank_protocol.Op.DISARM: 'disarm',
@@ -40,118 +38,129 @@
     202: rank_protocol.Answer.ACCEPTED,
     412: rank_protocol.Answer.FENCED,
 }
-"""What an order's status means; all others refuse it."""
+"""Meaning of an order's HTTP status; any other means REFUSED."""
 
 
-class _Border(pydantic.BaseModel):
+class _WireModel(pydantic.BaseModel):
+    """Base of the engine's messages; unknown fields are ignored."""
+
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
 
-class _Group(_Border):
+class _Group(_WireModel):
     name: str
     epoch: int
     rank: int
     state: str
 
 
-class _Armed(_Border):
+class _Armed(_WireModel):
     version: int
     step: int
 
 
-class _Report(_Border):
+class _Report(_WireModel):
     group: _Group
     # Ranks in the group, not requests.
     size: int
-    # How much longer the rank's work takes than it should.
+    # The rank's slowdown; 1 is normal.
     pace: float = 1.0
-    # The last pass that was begun.
+    # The last pass that was started.
     step: int
     map: int
     prepared: int | None = None
     armed: _Armed | None = None
-    # The pass that the group does not begin.
+    # The pass that the group does not start until it is released.
     held: int | None = None
 
 
-class _Counts(_Border):
+class _Counts(_WireModel):
     epoch: int
     step: int
-    # For each set of layers in turn, a number for each expert.
+    # One count for each expert, set of layers by set of layers.
     counts: list[int]
 
 
-class _RankMap(_Border):
+class _RankMap(_WireModel):
     version: int
-    # The experts of this rank, for each set of layers.
+    # This rank's experts, for each set of layers.
     experts: list[list[int]]
 
 
-class _Lists(_Border):
+class _Lists(_WireModel):
     map: _RankMap
 
 
 class EngineClient:
-    """Calls the engine behind an endpoint's address."""
+    """Calls engines at the addresses of their endpoints."""
 
     def __init__(self) -> None:
         self._idle: dict[tuple[str, int], http1_client.Connection] = {}
 
     async def report(self, host: str, port: int) -> rank_protocol.Report:
-        """Return a rank's report, or raise ``ports.EngineUnavailable``."""
+        """Return a rank's state.
+
+        Raises ports.EngineUnavailable.
+        """
         body = await self._get(host, port, REPORT_TARGET)
         try:
-            found = _Report.model_validate_json(body)
+            decoded = _Report.model_validate_json(body)
         except pydantic.ValidationError as exc:
-            raise ports.EngineUnavailable(f'not a report: {exc}') from exc
+            raise ports.EngineUnavailable(f'invalid report: {exc}') from exc
         armed = None
-        if found.armed is not None:
+        if decoded.armed is not None:
             armed = rank_protocol.Armed(
-                version=found.armed.version, step=found.armed.step
+                version=decoded.armed.version, step=decoded.armed.step
             )
         return rank_protocol.Report(
-            group=found.group.name,
-            epoch=found.group.epoch,
-            rank=found.group.rank,
-            size=found.size,
-            open=found.group.state == 'open',
-            step=found.step,
-            version=found.map,
-            prepared=found.prepared,
+            group=decoded.group.name,
+            epoch=decoded.group.epoch,
+            rank=decoded.group.rank,
+            size=decoded.size,
+            open=decoded.group.state == 'open',
+            step=decoded.step,
+            version=decoded.map,
+            prepared=decoded.prepared,
             armed=armed,
-            held=found.held,
-            slowdown=max(MIN_SLOWDOWN, found.pace),
+            held=decoded.held,
+            slowdown=max(MIN_SLOWDOWN, decoded.pace),
         )
 
     async def counts(self, host: str, port: int) -> rank_protocol.Counts:
-        """Return how often the rank's requests chose each expert."""
+        """Return how often the rank's requests chose each expert.
+
+        Raises ports.EngineUnavailable.
+        """
         body = await self._get(host, port, COUNTS_TARGET)
         try:
-            found = _Counts.model_validate_json(body)
+            decoded = _Counts.model_validate_json(body)
         except pydantic.ValidationError as exc:
-            raise ports.EngineUnavailable(f'not counts: {exc}') from exc
+            raise ports.EngineUnavailable(f'invalid counts: {exc}') from exc
         return rank_protocol.Counts(
-            epoch=found.epoch, counts=tuple(found.counts)
+            epoch=decoded.epoch, counts=tuple(decoded.counts)
         )
 
     async def held(self, host: str, port: int) -> rank_protocol.RankMap:
-        """Return the experts that the rank uses."""
+        """Return the experts that the rank uses.
+
+        Raises ports.EngineUnavailable.
+        """
         body = await self._get(host, port, MAP_TARGET)
         try:
-            found = _Lists.model_validate_json(body).map
+            decoded = _Lists.model_validate_json(body).map
         except pydantic.ValidationError as exc:
-            raise ports.EngineUnavailable(f'not a map: {exc}') from exc
+            raise ports.EngineUnavailable(f'invalid map: {exc}') from exc
         return rank_protocol.RankMap(
-            version=found.version,
-            experts=tuple(tuple(experts) for experts in found.experts),
+            version=decoded.version,
+            experts=tuple(tuple(experts) for experts in decoded.experts),
         )
 
     async def order(
         self, host: str, port: int, order: rank_protocol.Order
     ) -> rank_protocol.Answer:
-        """Give an order; silence is one of its answers."""
+        """Send an order; return Answer.NONE if there is no response."""
         message: dict[str, object] = {
-            'op': WIRE_OPS[order.op],
+            'op': OP_NAMES[order.op],
             'epoch': order.epoch,
             'fencing_token': order.token,
         }
@@ -172,22 +181,23 @@
     async def _get(self, host: str, port: int, path: bytes) -> bytes:
         status, body = await self.forward(host, port, path)
         if status != 200:
-            raise ports.EngineUnavailable(f'answered {status}')
+            raise ports.EngineUnavailable(f'status {status}')
         return body
 
     async def forward(
         self, host: str, port: int, target: bytes, body: bytes = b''
     ) -> tuple[int, bytes]:
-        """Ask as it stands, or order by a ``body``.
+        """Send a GET request, or a POST request if there is a ``body``.
 
-        Return the answer's status and body.  Raises
-        ``ports.EngineUnavailable``.
+        Return the response's status and body.  Raises
+        ports.EngineUnavailable.
         """
         if not body:
             return await self._call(host, port, b'GET', target, b'')
-        # On a connection of its own, and reports after it on new ones: a
-        # doubled answer to an earlier call must not pass for this one's.
-        self._drop(host, port)
+        # Use a new connection for the order and for the next report, so
+        # that a duplicated response to an earlier call is not taken for
+        # the response to this one.
+        self._close_idle(host, port)
         return await self._call(host, port, b'POST', target, body)
 
     async def _call(
@@ -197,7 +207,7 @@
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._exchange(host, port, method, target, body)
         except TimeoutError:
-            raise ports.EngineUnavailable('no answer in time') from None
+            raise ports.EngineUnavailable('no response in time') from None
         except (
             http1_client.ConnectionLost,
             http1_client.NotConnected,
@@ -207,9 +217,9 @@
     async def _exchange(
         self, host: str, port: int, method: bytes, path: bytes, body: bytes
     ) -> tuple[int, bytes]:
-        kept = self._idle.pop((host, port), None)
-        if kept is not None and kept.reusable:
-            connection = kept
+        idle = self._idle.pop((host, port), None)
+        if idle is not None and idle.reusable:
+            connection = idle
         else:
             connection = await http1_client.connect(
                 host, port, CONNECT_TIMEOUT_S
@@ -221,20 +231,20 @@
                 (b'content-length', str(len(body)).encode()),
             ]
         try:
-            answer = await connection.request(method, path, headers, body)
+            response = await connection.request(method, path, headers, body)
         except BaseException:
-            # A call that is given up must not keep its connection.
+            # This includes a timeout, which cancels the request.
             connection.close()
             raise
         if connection.reusable and method == b'GET':
-            self._drop(host, port)
+            self._close_idle(host, port)
             self._idle[host, port] = connection
         else:
             connection.close()
-        return answer
+        return response
 
-    def _drop(self, host: str, port: int) -> None:
-        """Close the connection that is kept for the next report."""
-        kept = self._idle.pop((host, port), None)
-        if kept is not None:
-            kept.close()
+    def _close_idle(self, host: str, port: int) -> None:
+        """Close the idle connection to an engine, if there is one."""
+        idle = self._idle.pop((host, port), None)
+        if idle is not None:
+            idle.close()
--- a/src/aspenfold/platform/factory.py
+++ b/src/aspenfold/platform/factory.py
@@ -1,4 +1,4 @@
-"""Gives the whole platform behind one store's address."""
+"""Creates the gateway's interfaces to the platform."""
 
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings
@@ -9,7 +9,7 @@
 
 
 def create_platform(address: settings.TcpAddress) -> ports.Platform:
-    """Return the platform whose store is at ``address``."""
+    """Return the platform's interfaces, with the store at ``address``."""
     return ports.Platform(
         store=store.StoreClient(address=address),
         plan_topic=config.TOPIC,
--- a/src/aspenfold/platform/headers.py
+++ b/src/aspenfold/platform/headers.py
@@ -1,29 +1,26 @@
-"""HTTP header names of the platform, decoded once.
-
-Names are lower case bytes, as the HTTP library hands them over.
-"""
+"""HTTP header names of the platform, in lower case."""
 
 from aspenfold._internal.gateway import dialect
 
 HEADER_NAMES = dialect.HeaderNames(
-    # One attempt of a caller.  Endpoints echo it, which tells a late
-    # answer to an earlier request from the answer to this one.
+    # Id of a caller's attempt.  Endpoints echo it, so that a late
+    # response to an earlier request can be recognised.
     attempt_id=b'x-aspenfold-attempt-id',
-    # Milliseconds that the sender still waits, as of sending.
+    # Milliseconds until the sender's deadline.
     time_left_ms=b'x-aspenfold-deadline-remaining-ms',
-    # Endpoints refuse with 421 if they are another incarnation.
+    # An endpoint that is another incarnation responds with 421.
     expected_endpoint=b'x-aspenfold-expect-instance',
     organisation=b'x-aspenfold-tenant',
-    # Present on an answer: the endpoint did not run the request.
+    # Present on a response if the endpoint did not run the request.
     not_run=b'x-aspenfold-not-executed',
-    # Running, waiting and capacity of the answering endpoint.
+    # The endpoint's running and waiting requests, and its capacity.
     load=b'x-aspenfold-instance-load',
-    # The endpoint's proof that an answer is its own; passed on as it is.
+    # The endpoint's signature of the response; passed on unchanged.
     signature=b'x-aspenfold-response-seal',
     last_event_id=b'last-event-id',
-    # 0 to 9; an endpoint admits a lower number first.
+    # 0 to 9; an endpoint admits lower numbers first.
     priority=b'x-aspenfold-request-priority',
-    # "prompt,longest answer", both in tokens.
+    # "prompt,longest response", both in tokens.
     token_usage=b'x-aspenfold-token-usage',
     length_hint=b'x-aspenfold-length-hint',
 )
--- a/src/aspenfold/platform/store.py
+++ b/src/aspenfold/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""HTTP client of the platform's store."""
 
 import asyncio
 import base64
@@ -14,22 +14,22 @@
 from aspenfold._internal.network import http1_client
 
 CONNECT_TIMEOUT_S = 0.4
-"""A store that can be reached accepts within some milliseconds."""
 
 CALL_TIMEOUT_S = 0.7
-"""The store answers in 4 ms; when slow, in about 60 times that."""
+"""Longer than a slow store takes to respond."""
 
 PAGE_HEADER = struct.Struct('>QQ')
-"""The end and the first kept offset, before the records of a page."""
+"""Starts a page: end offset and oldest kept offset of the partition."""
 
 RECORD_LENGTH = struct.Struct('>I')
+"""Precedes each record: its size in bytes."""
 
 MAX_IDLE_CONNECTIONS = 2
-"""Connections kept for the next call: one a feed."""
+"""Connections kept open for later calls, one for each feed."""
 
 
 class StoreClient:
-    """Speaks the store's protocol; one call a connection at a time."""
+    """Calls the store; see :class:`ports.Store`."""
 
     def __init__(self, *, address: settings.TcpAddress) -> None:
         self._address = address
@@ -39,7 +39,10 @@
         self._busy: set[http1_client.Connection] = set()
 
     async def newest(self, topic: str) -> ports.Page:
-        """Return the newest record of each key, over all its pages."""
+        """Return the newest record of each key, from all pages.
+
+        Raises ports.StoreUnavailable.
+        """
         records: list[ports.Record] = []
         after = ''
         while True:
@@ -47,8 +50,8 @@
             if after:
                 query['after'] = after
             body = await self._get('/api/log-newest', query, 0.0)
-            found = orjson.loads(body)
-            for item in found['items']:
+            page = orjson.loads(body)
+            for item in page['items']:
                 records.append(
                     ports.Record(
                         offset=item['offset'],
@@ -56,14 +59,17 @@
                         value=base64.b64decode(item['value']),
                     )
                 )
-            if not found['truncated'] or not found['items']:
-                return ports.Page(records=tuple(records), end=found['end'])
-            after = found['items'][-1]['key']
+            if not page['truncated'] or not page['items']:
+                return ports.Page(records=tuple(records), end=page['end'])
+            after = page['items'][-1]['key']
 
     async def read(
         self, topic: str, offset: int, wait: datetime.timedelta
     ) -> ports.Page:
-        """Return the records from ``offset``; see :class:`ports.Store`."""
+        """Return records from ``offset``; wait up to ``wait`` for one.
+
+        Raises ports.HistoryTrimmed or ports.StoreUnavailable.
+        """
         wait_s = wait.total_seconds()
         query = {'topic': topic, 'part': '0', 'from': str(offset)}
         if wait_s:
@@ -77,18 +83,24 @@
             position += RECORD_LENGTH.size
             content = body[position : position + length]
             position += length
-            records.append(_keyed(offset, content))
+            records.append(_decode_record(offset, content))
             offset += 1
         return ports.Page(records=tuple(records), end=end)
 
     async def append(
         self, topic: str, key: str, value: bytes, expected_offset: int
     ) -> int:
-        """Append a record if the topic ends there; return its offset."""
+        """Append a record at ``expected_offset`` and return that offset.
+
+        Raises ports.AppendConflict or ports.StoreUnavailable.
+        """
         return await self._append(topic, key, value, expected_offset)
 
     async def put(self, topic: str, key: str, value: bytes) -> int:
-        """Append a record wherever the topic ends; return its offset."""
+        """Append a record at the end of the topic; return its offset.
+
+        Raises ports.StoreUnavailable.
+        """
         return await self._append(topic, key, value, None)
 
     async def _append(
@@ -104,16 +116,16 @@
         target = f'/api/log-append?{urllib.parse.urlencode(query)}'
         content = bytes([len(key)]) + key.encode() + value
         body = RECORD_LENGTH.pack(len(content)) + content
-        status, answer = await self._call(b'POST', target, body, 0.0)
+        status, response = await self._call(b'POST', target, body, 0.0)
         if status == 200:
-            return int(orjson.loads(answer)['offset'])
+            return int(orjson.loads(response)['offset'])
         if status == 412:
-            end = int(orjson.loads(answer)['end'])
+            end = int(orjson.loads(response)['end'])
             raise ports.AppendConflict(end=end)
-        raise ports.StoreUnavailable(f'the append was answered {status}')
+        raise ports.StoreUnavailable(f'the append returned status {status}')
 
     def reset_connections(self) -> None:
-        """Close every connection; calls in progress fail at once."""
+        """Close all connections; calls in progress fail at once."""
         for connection in [*self._idle, *self._busy]:
             connection.close()
         self._idle.clear()
@@ -127,7 +139,7 @@
             return body
         if status == 410:
             raise ports.HistoryTrimmed(first=int(orjson.loads(body)['first']))
-        raise ports.StoreUnavailable(f'{path} answered {status}')
+        raise ports.StoreUnavailable(f'{path} returned status {status}')
 
     async def _call(
         self, method: bytes, target: str, body: bytes, wait_s: float
@@ -136,7 +148,7 @@
             async with asyncio.timeout(CALL_TIMEOUT_S + wait_s):
                 return await self._exchange(method, target, body)
         except TimeoutError:
-            raise ports.StoreUnavailable('no answer in time') from None
+            raise ports.StoreUnavailable('no response in time') from None
         except (
             http1_client.ConnectionLost,
             http1_client.NotConnected,
@@ -146,14 +158,14 @@
     async def _exchange(
         self, method: bytes, target: str, body: bytes
     ) -> tuple[int, bytes]:
-        connection = await self._connection()
+        connection = await self._open_connection()
         self._busy.add(connection)
         headers = [
             (b'host', str(self._address).encode()),
             (b'content-length', str(len(body)).encode()),
         ]
         try:
-            answer = await connection.request(
+            response = await connection.request(
                 method, target.encode(), headers, body
             )
         finally:
@@ -162,9 +174,9 @@
             self._idle.append(connection)
         else:
             connection.close()
-        return answer
+        return response
 
-    async def _connection(self) -> http1_client.Connection:
+    async def _open_connection(self) -> http1_client.Connection:
         while self._idle:
             connection = self._idle.popleft()
             if connection.reusable:
@@ -175,8 +187,8 @@
         )
 
 
-def _keyed(offset: int, content: bytes) -> ports.Record:
-    """Decode "length of key, key, value"; no value removes the key."""
+def _decode_record(offset: int, content: bytes) -> ports.Record:
+    """Decode a key's length, the key and its value, empty if removed."""
     length = content[0]
     key = content[1 : 1 + length].decode()
     value = content[1 + length :]
