--- a/src/aspenfold/_internal/gateway/endpoint_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -160,7 +160,7 @@
         known = self._directory.get(listing.name)
         if known is None or known.listing != listing:
             self._changed.append(record)
-        if self._directory.listed(listing):
+        if self._directory.update_listing(listing):
             events.emit(
                 events.Event.ENDPOINT_LISTED,
                 endpoint=listing.name,
@@ -177,8 +177,8 @@
             del self._listed_at[oldest]
 
     def _remove(self, name: str, now: datetime.datetime) -> None:
-        gone = self._directory.removed(
-            name, now, store_sound=self._health.is_stable(now)
+        gone = self._directory.remove_listing(
+            name, now, store_available=self._health.is_stable(now)
         )
         if gone:
             self._gone(name)
@@ -195,7 +195,7 @@
         """Forget endpoints that did not return with the store."""
         if self._health.lost or self._health.failed_at is None:
             return
-        lost = self._directory.settle(
+        lost = self._directory.remove_missing(
             self._clock.now(), self._health.failed_at
         )
         for name in lost:
@@ -226,8 +226,8 @@
             gone = tuple(name for name in names if name not in present)
         for name in gone:
             # The peer has waited where the store was away.
-            if self._directory.removed(
-                name, self._clock.now(), store_sound=True
+            if self._directory.remove_listing(
+                name, self._clock.now(), store_available=True
             ):
                 self._gone(name)
         self._next = max(known, relayed.end)
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -152,11 +152,11 @@
 
     async def _wait_to_find(self) -> None:
         """Wait until another search for the ranks may find them."""
-        if self._outage.lasts:
+        if self._outage.is_ongoing:
             await self._outage.wait(OUTAGE_DISCOVERY_INTERVAL)
             return
         wait = DISCOVERY_INTERVAL
-        if self._outage.ended_lately(self._clock.now()) is not None:
+        if self._outage.recent_recovery_age(self._clock.now()) is not None:
             wait = RECOVERY_DISCOVERY_INTERVAL
         await asyncio.sleep(wait.total_seconds())
 
@@ -217,7 +217,7 @@
         now = self._clock.now()
         self._perform(switch, switch.tick(now))
         # A group that refuses requests opens in a new epoch.
-        broken = self._outage.lasts and not switch.may_hold_pass
+        broken = self._outage.is_ongoing and not switch.may_hold_pass
         if broken or switch.state is map_switch.State.LOST:
             self._leave(switch)
             return
@@ -287,7 +287,7 @@
                 paces[self._endpoints[rank].name] = round(pace, 2)
         if paces != self._peers.slowdowns:
             self._peers.slowdowns = paces
-            self._members.take_paces(paces)
+            self._members.set_slowdowns(paces)
             events.emit(
                 events.Event.RANKS_SLOW, group=self._group, paces=paces
             )
--- a/src/aspenfold/_internal/gateway/leadership.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -263,12 +263,12 @@
     # -- the groups ------------------------------------------------------
 
     def _shapes(self) -> dict[str, plan_module.GroupShape]:
-        table = self._core.table
-        if table is None:
+        plan_index = self._core.plan_index
+        if plan_index is None:
             return {}
         return {
             service.name: service.group
-            for service in table.plan.services.values()
+            for service in plan_index.plan.services.values()
             if service.group is not None
         }
 
@@ -312,7 +312,7 @@
             zone=self._core.cfg.availability_zone,
             clock=self._core.clock,
             peers=self._peers,
-            outage=self._core.outages.of(service, group),
+            outage=self._core.outages.get(service, group),
         )
         leader.draining = self._draining
         task = asyncio.create_task(leader.run())
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -181,7 +181,7 @@
         self._count(update, 1)
         peer.update = update
         if update.token:
-            self._members.take_paces(update.slowdowns)
+            self._members.set_slowdowns(update.slowdowns)
         return update
 
     def is_leader_alive(self, now: datetime.datetime) -> bool:
@@ -261,7 +261,7 @@
     def _add(self, name: str, count: int) -> None:
         endpoint = self._members.get(name)
         if endpoint is not None:
-            endpoint.elsewhere = max(0, endpoint.elsewhere + count)
+            endpoint.peer_in_flight = max(0, endpoint.peer_in_flight + count)
 
     def expire_silent(self, now: datetime.datetime) -> None:
         """Leave out what peers told that are not heard any more."""
--- a/src/aspenfold/platform/headers.py
+++ b/src/aspenfold/platform/headers.py
@@ -1,8 +1,8 @@
 """HTTP header names of the platform, in lower case."""
 
-from aspenfold._internal.gateway import dialect
+from aspenfold._internal.gateway import header_names
 
-HEADER_NAMES = dialect.HeaderNames(
+HEADER_NAMES = header_names.HeaderNames(
     # Id of a caller's attempt.  Endpoints echo it, so that a late
     # response to an earlier request can be recognised.
     attempt_id=b'x-aspenfold-attempt-id',
