--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -1,4 +1,4 @@
-"""The agent beside an engine, with real sockets and as a process."""
+"""The agent on an engine's host, with real sockets and as a process."""
 
 import asyncio
 import json
@@ -32,15 +32,15 @@
 ]
 
 
-class DeafRank(group_module.RankWorker):
-    """A rank that takes questions and does not answer them."""
+class UnresponsiveRank(group_module.RankWorker):
+    """A rank that accepts requests and closes without an answer."""
 
     async def _handle(self, exchange: http11.Exchange) -> None:
         exchange.reset()
 
 
 def agent(port: int, rank: workers.Worker) -> rank_agent.RankAgent:
-    """Return an agent for a rank, not started yet."""
+    """Return an agent for a rank, without starting it."""
     return rank_agent.RankAgent(
         cfg=settings_module.RankAgentSettings(
             name='host-1',
@@ -57,32 +57,34 @@
     )
 
 
-async def ask(port: int, target: bytes) -> tuple[int, bytes]:
-    """Ask as a leader's client does."""
+async def call_agent(port: int, target: bytes) -> tuple[int, bytes]:
+    """Call the agent as a leader's client does."""
     client = engine_module.EngineClient()
     return await client.forward(rigs.LOOPBACK, port, target)
 
 
-def test_questions_and_orders_are_passed_on_as_they_stand() -> None:
-    """And nothing else."""
+def test_reads_and_orders_are_forwarded_unchanged() -> None:
+    """All other requests are refused."""
 
     async def run() -> None:
         group = group_module.Group(size=1, rng=random.Random(1))
         rank = group_module.RankWorker('r', group=group, rank=0)
         await rank.start()
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
-        one = agent(port, rank)
-        await one.start()
+        running_agent = agent(port, rank)
+        await running_agent.start()
         for target in (engine_module.COUNTS_TARGET, engine_module.MAP_TARGET):
-            assert await ask(port, target) == await ask(rank.port, target)
-        assert (await ask(port, b'/health'))[0] == 404
+            assert await call_agent(port, target) == await call_agent(
+                rank.port, target
+            )
+        assert (await call_agent(port, b'/health'))[0] == 404
         client = engine_module.EngineClient()
         for target in (engine_module.REPORT_TARGET, b'/v1/completions'):
             status, _ = await client.forward(
                 rigs.LOOPBACK, port, target, b'{}'
             )
             assert status == 404
-        assert (await ask(port, engine_module.ORDER_TARGET))[0] == 404
+        assert (await call_agent(port, engine_module.ORDER_TARGET))[0] == 404
         order = rank_protocol.Order(
             rank=0,
             op=rank_protocol.Op.HOLD,
@@ -95,33 +97,33 @@
         answer = await client.order(rigs.LOOPBACK, port, order)
         assert answer is rank_protocol.Answer.ACCEPTED
         assert group.world.ranks[0].held == order.step
-        await one.finish()
+        await running_agent.finish()
         await rank.stop()
 
     asyncio.run(run())
 
 
-def test_silence_is_passed_on_as_silence() -> None:
-    """No status would be true of it."""
+def test_no_answer_is_forwarded_as_no_answer() -> None:
+    """Any status would look like an answer of the engine."""
 
     async def run() -> None:
         group = group_module.Group(size=1, rng=random.Random(1))
-        rank = DeafRank('r', group=group, rank=0)
+        rank = UnresponsiveRank('r', group=group, rank=0)
         await rank.start()
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
-        one = agent(port, rank)
-        await one.start()
+        running_agent = agent(port, rank)
+        await running_agent.start()
         with pytest.raises(ports.EngineUnavailable):
-            await ask(port, engine_module.REPORT_TARGET)
-        assert one.silent == 1
-        await one.finish()
+            await call_agent(port, engine_module.REPORT_TARGET)
+        assert running_agent.silent == 1
+        await running_agent.finish()
         await rank.stop()
 
     asyncio.run(run())
 
 
 class SlowRank(group_module.RankWorker):
-    """A rank that takes a while for its answers."""
+    """A rank that answers after a delay."""
 
     asked = 0
 
@@ -131,33 +133,35 @@
         await super()._handle(exchange)
 
 
-def test_an_agent_that_ends_answers_what_is_under_way() -> None:
-    """And closes connections on which a call might come as it ends."""
+def test_ending_agent_answers_requests_in_progress() -> None:
+    """It also closes idle connections, on which calls would be lost."""
 
     async def run() -> None:
         group = group_module.Group(size=1, rng=random.Random(1))
         rank = SlowRank('r', group=group, rank=0)
         await rank.start()
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
-        one = agent(port, rank)
-        await one.start()
+        running_agent = agent(port, rank)
+        await running_agent.start()
         reader, writer = await asyncio.open_connection(rigs.LOOPBACK, port)
-        asking = asyncio.ensure_future(ask(port, engine_module.COUNTS_TARGET))
+        call = asyncio.ensure_future(
+            call_agent(port, engine_module.COUNTS_TARGET)
+        )
         await rigs.until(lambda: rank.asked)
-        await one.finish()
-        status, _ = await asking
+        await running_agent.finish()
+        status, _ = await call
         assert status == 200
         assert await asyncio.wait_for(reader.read(), rigs.WAIT_S) == b''
         writer.close()
         with pytest.raises(ports.EngineUnavailable):
-            await ask(port, engine_module.COUNTS_TARGET)
+            await call_agent(port, engine_module.COUNTS_TARGET)
         await rank.stop()
 
     asyncio.run(run())
 
 
-def test_the_program_serves_and_ends(tmp_path: pathlib.Path) -> None:
-    """As the platform starts it; SIGHUP and SIGTERM included."""
+def test_program_serves_and_ends(tmp_path: pathlib.Path) -> None:
+    """The platform starts it, and sends SIGHUP and SIGTERM."""
 
     async def run() -> tuple[int, str]:
         group = group_module.Group(size=1, rng=random.Random(1))
@@ -182,12 +186,12 @@
             async with asyncio.timeout(rigs.WAIT_S):
                 while True:
                     try:
-                        await ask(first, engine_module.COUNTS_TARGET)
+                        await call_agent(first, engine_module.COUNTS_TARGET)
                         break
                     except ports.EngineUnavailable:
                         await asyncio.sleep(0.02)
             process.send_signal(signal.SIGHUP)
-            await ask(first, engine_module.COUNTS_TARGET)
+            await call_agent(first, engine_module.COUNTS_TARGET)
             process.send_signal(signal.SIGTERM)
             output, _ = await asyncio.wait_for(
                 process.communicate(), rigs.WAIT_S
@@ -205,8 +209,8 @@
     assert events == [100, 105, 102]
 
 
-def test_settings_without_an_engine_end_it(tmp_path: pathlib.Path) -> None:
-    """The field is named, and so is a range without room for agents."""
+def test_invalid_settings_end_the_program(tmp_path: pathlib.Path) -> None:
+    """The error must name the invalid field."""
     path = tmp_path / 'settings.json'
     file = {
         'node': 'n',
@@ -221,13 +225,13 @@
         ('internal_port_range', [7, 7]),
     ]:
         path.write_text(json.dumps({**file, field: value}))
-        ended = subprocess.run(
+        result = subprocess.run(
             PROGRAM,
             env={**os.environ, settings.PATH_VARIABLE: str(path)},
             capture_output=True,
             text=True,
             timeout=30,
         )
-        assert ended.returncode == exits.Exit.USAGE
-        assert '[5000]' in ended.stderr
-        assert field in ended.stderr
+        assert result.returncode == exits.Exit.USAGE
+        assert '[5000]' in result.stderr
+        assert field in result.stderr
--- a/tests/unit/test_group_monitor.py
+++ b/tests/unit/test_group_monitor.py
@@ -1,4 +1,4 @@
-"""Groups of one service: which rank is where, and which of them run."""
+"""Groups of one service: finding their ranks and detecting recoveries."""
 
 import asyncio
 import dataclasses
@@ -27,7 +27,7 @@
 
 
 class FakeCore:
-    """The part of a gateway's core that the watch uses."""
+    """The part of a gateway's core that the monitor uses."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -40,18 +40,18 @@
 
 
 class FakeRanks:
-    """Tells each endpoint's report; counts how often it was asked."""
+    """Returns scripted reports; keeps the names of the endpoints called."""
 
     def __init__(self) -> None:
         self.reports: dict[str, rank_protocol.Report] = {}
-        self.asked: list[str] = []
+        self.called: list[str] = []
 
     async def report(
         self, endpoint: directory.Endpoint, *, agent_only: bool = False
     ) -> rank_protocol.Report | None:
         """Return a report, None if there is no agent."""
         assert agent_only
-        self.asked.append(endpoint.name)
+        self.called.append(endpoint.name)
         return self.reports.get(endpoint.name)
 
 
@@ -72,10 +72,13 @@
     )
 
 
-def world(
+def monitored_groups(
     *groups: str,
 ) -> tuple[FakeCore, FakeRanks, group_monitor.GroupMonitor]:
-    """Return a gateway that knows one rank of each group by name."""
+    """Return a gateway's core, its ranks and its monitor.
+
+    The core knows one endpoint, ``e-0``, ``e-1`` and so on, per group.
+    """
     core, client = FakeCore(), FakeRanks()
     for number, group in enumerate(groups):
         name = f'e-{number}'
@@ -91,90 +94,92 @@
             )
         )
         client.reports[name] = report(group)
-    watch = group_monitor.GroupMonitor(
+    monitor = group_monitor.GroupMonitor(
         core=core,  # type: ignore[arg-type]
         ranks_client=client,  # type: ignore[arg-type]
         rng=random.Random(1),
     )
-    return core, client, watch
+    return core, client, monitor
 
 
-def watch_for(watch: group_monitor.GroupMonitor, turns: int) -> None:
-    """Let the watch take some turns."""
+def run_polls(monitor: group_monitor.GroupMonitor, polls: int) -> None:
+    """Run some polls of the monitor."""
 
     async def run() -> None:
-        for _ in range(turns):
-            await watch.poll()
+        for _ in range(polls):
+            await monitor.poll()
 
     asyncio.run(run())
 
 
-def member(core: FakeCore, name: str) -> directory.Endpoint:
-    """Return a known endpoint."""
+def endpoint_named(core: FakeCore, name: str) -> directory.Endpoint:
+    """Return the endpoint with this name."""
     found = core.directory.get(name)
     assert found is not None
     return found
 
 
 def test_each_rank_is_asked_for_its_group_once() -> None:
-    """Few at a time; one that has no agent is asked again."""
-    core, client, watch = world(*('g' * 6))
+    """Ranks whose agent does not answer are asked again."""
+    core, client, monitor = monitored_groups(*('g' * 6))
     del client.reports['e-5']
-    watch_for(watch, 3)
-    known = [member(core, f'e-{n}').group for n in range(6)]
+    run_polls(monitor, 3)
+    known = [endpoint_named(core, f'e-{n}').group for n in range(6)]
     assert known == ['g'] * 5 + ['']
-    asked = {name: client.asked.count(name) for name in client.asked}
+    asked = {name: client.called.count(name) for name in client.called}
     assert all(asked[f'e-{n}'] == 1 for n in range(5))
     assert asked['e-5'] >= 2
 
 
-def test_a_standing_group_is_seen_to_open() -> None:
-    """By a fresh report, without a request that might be refused."""
-    core, client, watch = world('g')
-    member(core, 'e-0').group = 'g'
+def test_fresh_report_ends_outage() -> None:
+    """Stale reports may be from before the outage."""
+    core, client, monitor = monitored_groups('g')
+    endpoint_named(core, 'e-0').group = 'g'
     core.outages.record_refusal(SERVICE, 'g')
     client.reports['e-0'] = report('g', is_open=False)
-    watch_for(watch, 1)
+    run_polls(monitor, 1)
     assert core.outages.get(SERVICE, 'g').is_ongoing
     old = dataclasses.replace(report('g'), age=rank_protocol.MAX_REPORT_AGE)
     client.reports['e-0'] = old
-    watch_for(watch, 1)
+    run_polls(monitor, 1)
     assert core.outages.get(SERVICE, 'g').is_ongoing
     client.reports['e-0'] = report('g')
-    watch_for(watch, 1)
+    run_polls(monitor, 1)
     assert not core.outages.get(SERVICE, 'g').is_ongoing
 
 
-def test_groups_that_run_are_not_asked() -> None:
-    """Once it is known who is in them."""
-    core, client, watch = world('g', 'h')
+def test_available_groups_are_not_polled() -> None:
+    """Their recovery is not waited for, so that calls would be wasted."""
+    core, client, monitor = monitored_groups('g', 'h')
     for name in ('e-0', 'e-1'):
-        member(core, name).group = 'g'
-    watch_for(watch, 3)
-    assert not client.asked
+        endpoint_named(core, name).group = 'g'
+    run_polls(monitor, 3)
+    assert not client.called
 
 
-def test_a_request_waits_only_if_no_group_runs() -> None:
-    """And then for the one that is expected to open first."""
-    core, _, _ = world('g', 'h')
-    one, two = member(core, 'e-0'), member(core, 'e-1')
+def test_request_waits_only_if_no_group_is_available() -> None:
+    """It waits for the group that is expected to recover first."""
+    core, _, _ = monitored_groups('g', 'h')
+    one, two = endpoint_named(core, 'e-0'), endpoint_named(core, 'e-1')
     one.group, two.group = 'g', 'h'
-    known = core.outages
-    known.record_refusal(SERVICE, 'g')
-    assert known.is_unavailable(one)
-    assert not known.is_unavailable(two)
-    assert known.first_to_recover([one, two]) is None
+    core_outages = core.outages
+    core_outages.record_refusal(SERVICE, 'g')
+    assert core_outages.is_unavailable(one)
+    assert not core_outages.is_unavailable(two)
+    assert core_outages.first_to_recover([one, two]) is None
     core.clock.time += SECOND
-    known.record_refusal(SERVICE, 'h')
-    assert known.first_to_recover([one, two]) is known.get(SERVICE, 'g')
-    known.record_recovery(SERVICE, 'g')
-    assert known.first_to_recover([one, two]) is None
+    core_outages.record_refusal(SERVICE, 'h')
+    assert core_outages.first_to_recover([one, two]) is core_outages.get(
+        SERVICE, 'g'
+    )
+    core_outages.record_recovery(SERVICE, 'g')
+    assert core_outages.first_to_recover([one, two]) is None
 
 
-def test_a_backlog_of_one_group_is_no_backlog_of_all() -> None:
-    """First streams leave room only where all groups catch up."""
-    core, _, _ = world('g', 'h')
-    one, two = member(core, 'e-0'), member(core, 'e-1')
+def test_recovery_of_one_group_is_no_recovery_of_all() -> None:
+    """Slots are reserved for retries only if all groups had an outage."""
+    core, _, _ = monitored_groups('g', 'h')
+    one, two = endpoint_named(core, 'e-0'), endpoint_named(core, 'e-1')
     one.group, two.group = 'g', 'h'
     core.outages.record_refusal(SERVICE, 'g')
     core.outages.record_recovery(SERVICE, 'g')
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -1,4 +1,4 @@
-"""Which way a leader calls its ranks, and whose counts it reads."""
+"""Calls of ranks through agents or directly, and reads of their counts."""
 
 import asyncio
 import dataclasses
@@ -63,7 +63,7 @@
 
 
 class FakeEngine:
-    """Answers at the ports that are up, and notes who was called."""
+    """Answers at the ports that are up; keeps the ports called."""
 
     def __init__(self, *up: int) -> None:
         self.up = set(up)
@@ -72,7 +72,7 @@
     async def _call(self, port: int) -> None:
         self.called.append(port)
         if port not in self.up:
-            raise ports.EngineUnavailable('nobody there')
+            raise ports.EngineUnavailable('no answer')
 
     async def counts(self, host: str, port: int) -> rank_protocol.Counts:
         """Return a rank's counts."""
@@ -80,7 +80,7 @@
         return rank_protocol.Counts(epoch=1, counts=(1, 2))
 
     async def report(self, host: str, port: int) -> rank_protocol.Report:
-        """Return a report that says nothing of its age."""
+        """Return a report without an age."""
         await self._call(port)
         return REPORT
 
@@ -92,7 +92,7 @@
     async def order(
         self, host: str, port: int, order: rank_protocol.Order
     ) -> rank_protocol.Answer:
-        """Take an order."""
+        """Accept an order."""
         self.called.append(port)
         if port not in self.up:
             return rank_protocol.Answer.NONE
@@ -103,12 +103,12 @@
 
 
 class FrozenAgent(FakeEngine):
-    """An agent's host that stands still; the engine does not."""
+    """An engine whose agent is frozen."""
 
     async def order(
         self, host: str, port: int, order: rank_protocol.Order
     ) -> rank_protocol.Answer:
-        """Take an order, the agent much later."""
+        """Accept an order; through the agent only after a long time."""
         if port == AGENT:
             await asyncio.sleep(FROZEN_S)
         return await super().order(host, port, order)
@@ -129,48 +129,48 @@
     )
 
 
-def client(
+def client_and_clock(
     engine: FakeEngine, agent_port: int = AGENT
 ) -> tuple[rank_client.RankClient, FakeClock]:
     """Return a client and its clock."""
     clock = FakeClock()
-    made = rank_client.RankClient(
+    client = rank_client.RankClient(
         engine=engine, clock=clock, agent_port=agent_port
     )
-    return made, clock
+    return client, clock
 
 
-def test_the_agent_is_called_where_there_is_one() -> None:
-    """And the engine itself where the settings know of no agents."""
+def test_agent_is_called_if_configured() -> None:
+    """Without a configured port, the engine itself is called."""
     engine = FakeEngine(AGENT, ENGINE)
-    found, _ = client(engine)
-    assert asyncio.run(found.counts(endpoint('1'))) is not None
+    client, _ = client_and_clock(engine)
+    assert asyncio.run(client.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT]
-    found, _ = client(engine, agent_port=0)
-    assert asyncio.run(found.counts(endpoint('1'))) is not None
+    client, _ = client_and_clock(engine, agent_port=0)
+    assert asyncio.run(client.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT, ENGINE]
 
 
-def test_a_lost_agent_is_passed_over_for_a_while() -> None:
-    """The engine answers instead, at once."""
+def test_agent_without_answer_is_skipped_for_a_while() -> None:
+    """Each call to it would take a timeout."""
     engine = FakeEngine(ENGINE)
-    found, clock = client(engine)
+    client, clock = client_and_clock(engine)
     for _ in range(2):
-        assert asyncio.run(found.counts(endpoint('1'))) is not None
+        assert asyncio.run(client.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT, ENGINE, ENGINE]
     clock.time += rank_client.AGENT_RETRY_DELAY
     engine.up.add(AGENT)
-    assert asyncio.run(found.counts(endpoint('1'))) is not None
+    assert asyncio.run(client.counts(endpoint('1'))) is not None
     assert engine.called[3:] == [AGENT]
 
 
-def test_counts_that_would_cost_are_not_read_for_nothing() -> None:
-    """Neither when the agent fails nor while it is passed over."""
+def test_agent_only_counts_never_call_the_engine() -> None:
+    """Each direct call costs money."""
     engine = FakeEngine(ENGINE)
-    found, _ = client(engine)
+    client, _ = client_and_clock(engine)
     for _ in range(2):
         assert (
-            asyncio.run(found.counts(endpoint('1'), agent_only=True)) is None
+            asyncio.run(client.counts(endpoint('1'), agent_only=True)) is None
         )
     assert engine.called == [AGENT]
 
@@ -184,80 +184,80 @@
         rank_protocol.Op.DISARM,
     ],
 )
-def test_orders_of_a_held_group_go_to_the_engine_itself(
+def test_orders_for_held_pass_go_to_the_engine(
     op: rank_protocol.Op,
 ) -> None:
-    """A frozen agent must not keep a held group waiting, not at all."""
+    """A frozen agent would block the group."""
     engine = FrozenAgent(AGENT, ENGINE)
-    found, _ = client(engine)
+    client, _ = client_and_clock(engine)
     order = dataclasses.replace(ORDER, op=op, step=3)
-    answer = asyncio.run(found.order(endpoint('1'), order))
+    answer = asyncio.run(client.order(endpoint('1'), order))
     assert answer is rank_protocol.Answer.ACCEPTED
     assert engine.called == [ENGINE]
 
 
-def test_an_order_to_copy_goes_through_the_agent_and_once() -> None:
-    """Where there is none, to the engine itself."""
+def test_order_to_copy_is_sent_once_through_the_agent() -> None:
+    """Without agents it goes to the engine itself."""
     engine = FakeEngine(AGENT, ENGINE)
-    found, _ = client(engine)
-    answer = asyncio.run(found.order(endpoint('1'), ORDER))
+    client, _ = client_and_clock(engine)
+    answer = asyncio.run(client.order(endpoint('1'), ORDER))
     assert answer is rank_protocol.Answer.ACCEPTED
     assert engine.called == [AGENT]
-    found, _ = client(engine, agent_port=0)
-    asyncio.run(found.order(endpoint('1'), ORDER))
+    client, _ = client_and_clock(engine, agent_port=0)
+    asyncio.run(client.order(endpoint('1'), ORDER))
     assert engine.called == [AGENT, ENGINE]
 
 
-def test_the_order_after_one_without_an_answer_goes_to_the_engine() -> None:
-    """Whoever was silent: orders may go late, questions go on."""
+def test_order_after_one_without_answer_goes_to_the_engine() -> None:
+    """Other calls still go through the agent."""
     engine = FakeEngine(ENGINE)
-    found, clock = client(engine)
-    answer = asyncio.run(found.order(endpoint('1'), ORDER))
+    client, clock = client_and_clock(engine)
+    answer = asyncio.run(client.order(endpoint('1'), ORDER))
     assert answer is rank_protocol.Answer.NONE
     assert engine.called == [AGENT]
     engine.up.add(AGENT)
-    answer = asyncio.run(found.order(endpoint('1'), ORDER))
+    answer = asyncio.run(client.order(endpoint('1'), ORDER))
     assert answer is rank_protocol.Answer.ACCEPTED
-    assert asyncio.run(found.counts(endpoint('1'))) is not None
+    assert asyncio.run(client.counts(endpoint('1'))) is not None
     assert engine.called == [AGENT, ENGINE, AGENT]
     clock.time += rank_client.AGENT_RETRY_DELAY
-    asyncio.run(found.order(endpoint('1'), ORDER))
+    asyncio.run(client.order(endpoint('1'), ORDER))
     assert engine.called[3:] == [AGENT]
 
 
-def test_a_frozen_agent_keeps_an_order_for_a_moment_only() -> None:
-    """Its rank begins to copy, and with it the group, a moment later."""
+def test_frozen_agent_delays_order_only_by_its_timeout() -> None:
+    """The map change of the whole group waits for each rank's copies."""
 
     async def run() -> None:
         engine = FrozenAgent(AGENT, ENGINE)
-        found, _ = client(engine)
+        client, _ = client_and_clock(engine)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        answer = await found.order(endpoint('1'), ORDER)
+        answer = await client.order(endpoint('1'), ORDER)
         assert answer is rank_protocol.Answer.NONE
         limit = rank_client.AGENT_ORDER_TIMEOUT.total_seconds()
         assert limit <= loop.time() - began < FROZEN_S
-        answer = await found.order(endpoint('1'), ORDER)
+        answer = await client.order(endpoint('1'), ORDER)
         assert answer is rank_protocol.Answer.ACCEPTED
 
     asyncio.run(run())
 
 
 def test_only_reports_through_an_agent_are_fresh() -> None:
-    """Engines tell other hosts what was some hundred ms ago."""
+    """Engines send delayed reports to other hosts."""
     engine = FakeEngine(AGENT, ENGINE)
-    found, _ = client(engine)
-    report = asyncio.run(found.report(endpoint('1')))
+    client, _ = client_and_clock(engine)
+    report = asyncio.run(client.report(endpoint('1')))
     assert report is not None
     assert report.age == datetime.timedelta(0)
-    found, _ = client(engine, agent_port=0)
-    report = asyncio.run(found.report(endpoint('1')))
+    client, _ = client_and_clock(engine, agent_port=0)
+    report = asyncio.run(client.report(endpoint('1')))
     assert report is not None
     assert report.age == rank_protocol.MAX_REPORT_AGE
 
 
-def test_ranks_of_the_own_zone_are_read_and_few_where_it_costs() -> None:
-    """The same ones each turn, since counts add up from the last."""
+def test_counts_are_read_in_the_same_zone_or_of_few_ranks() -> None:
+    """The ranks stay the same, since only the growth of counts is used."""
     zones = {0: 'a', 1: 'b', 2: 'a', 3: 'b'}
     group = {n: endpoint(str(n), zone) for n, zone in zones.items()}
 
@@ -276,20 +276,20 @@
     assert whole == [0, 1, 2, 3]
 
 
-def test_a_group_of_other_zones_is_read_less_often() -> None:
-    """Load pattern: a group a zone, all led from one of them."""
+def test_group_of_another_zone_is_read_less_often() -> None:
+    """Traffic between zones costs money."""
     group = {n: endpoint(str(n), 'b') for n in range(24)}
     assert sampling.count_interval(group, 'b') == sampling.ZONE_COUNT_INTERVAL
     assert sampling.count_interval(group, 'a') == sampling.GROUP_COUNT_INTERVAL
     read = sampling.choose_ranks(group, zone='a', agent_only=True, poll=0)
     assert len(read) == sampling.MAX_REMOTE_ZONE_RANKS
     engine = FakeEngine(AGENT, ENGINE)
-    found, clock = client(engine)
+    client, clock = client_and_clock(engine)
     planner = map_planner.GroupMapPlanner(
         service='s', shape=SHAPE, clock=clock
     )
     reader = count_reader.CountReader(
-        ranks_client=found, planner=planner, zone='a'
+        ranks_client=client, planner=planner, zone='a'
     )
 
     async def run() -> None:
@@ -299,5 +299,5 @@
             clock.time += datetime.timedelta(milliseconds=50)
 
     asyncio.run(run())
-    # Ten times in three seconds.
+    # Ten reads in three seconds.
     assert engine.called.count(AGENT) == 10 * sampling.MAX_REMOTE_ZONE_RANKS
--- a/tests/unit/test_reader_selection.py
+++ b/tests/unit/test_reader_selection.py
@@ -1,4 +1,4 @@
-"""Who reads the store, and who follows whom, by a driven clock."""
+"""Selection of the gateway that reads the store, with given times."""
 
 import datetime
 
@@ -16,128 +16,132 @@
 
 
 def reader(host: str = 'g-2') -> reader_selection.ReaderSelection:
-    """Return a gateway of zone a that reads the store."""
-    found = reader_selection.ReaderSelection(host=host, zone='a', now=START)
-    found.on_store_success()
-    return found
-
-
-def test_one_that_knows_nobody_reads() -> None:
-    """Others may follow it once the store has answered."""
-    found = reader_selection.ReaderSelection(host='g-2', zone='a', now=START)
-    assert found.read_mode(START) is FULL
-    assert not found.is_reader(START)
-    found.on_store_success()
-    assert found.is_reader(START)
-
-
-def test_it_follows_a_reader_of_its_zone_that_goes_before_it() -> None:
-    """And reads no more once that gives news."""
-    found = reader()
-    found.on_peer_update('g-1', 'a', True, START)
-    found.on_peer_update('g-0', 'b', True, START)
-    assert found.reader_to_follow(START) == 'g-1'
-    assert found.read_mode(START) is FULL
-    found.on_relayed('g-1', START)
-    assert found.read_mode(START) is NONE
-    assert not found.is_reader(START)
-
-
-def test_it_does_not_follow_one_behind_it_nor_one_that_follows() -> None:
-    """So that two never wait for each other."""
-    found = reader()
-    found.on_peer_update('g-3', 'a', True, START)
-    found.on_peer_update('g-1', 'a', False, START)
-    assert found.reader_to_follow(START) == ''
-
-
-def test_what_one_gateway_does_is_left_to_readers_that_have_settled() -> None:
-    """Not at a start, nor while the store or a peer's news is away."""
-    found = reader()
-    assert found.is_passive(START)
+    """Return the selection of a gateway in zone a that reads the store."""
+    selection = reader_selection.ReaderSelection(
+        host=host, zone='a', now=START
+    )
+    selection.on_store_success()
+    return selection
+
+
+def test_gateway_without_peers_reads() -> None:
+    """It is a reader only once the store has answered."""
+    selection = reader_selection.ReaderSelection(
+        host='g-2', zone='a', now=START
+    )
+    assert selection.read_mode(START) is FULL
+    assert not selection.is_reader(START)
+    selection.on_store_success()
+    assert selection.is_reader(START)
+
+
+def test_gateway_follows_reader_of_its_zone_with_lower_name() -> None:
+    """It stops reading only once it receives relayed records."""
+    selection = reader()
+    selection.on_peer_update('g-1', 'a', True, START)
+    selection.on_peer_update('g-0', 'b', True, START)
+    assert selection.reader_to_follow(START) == 'g-1'
+    assert selection.read_mode(START) is FULL
+    selection.on_relayed('g-1', START)
+    assert selection.read_mode(START) is NONE
+    assert not selection.is_reader(START)
+
+
+def test_gateway_follows_neither_higher_name_nor_follower() -> None:
+    """Two gateways must never follow each other."""
+    selection = reader()
+    selection.on_peer_update('g-3', 'a', True, START)
+    selection.on_peer_update('g-1', 'a', False, START)
+    assert selection.reader_to_follow(START) == ''
+
+
+def test_only_reader_that_has_discovered_peers_is_active() -> None:
+    """A gateway is passive at its start, without the store and following."""
+    selection = reader()
+    assert selection.is_passive(START)
     later = START + reader_selection.PEER_DISCOVERY_DURATION
-    assert not found.is_passive(later)
-    found.on_store_failure(later)
-    assert not found.is_passive(later)
-    found.on_store_failure(later)
-    assert found.is_passive(later)
-    found.on_store_success()
-    found.on_peer_update('g-1', 'a', True, later)
-    assert not found.is_passive(later)
-    found.on_relayed('g-1', later)
-    assert found.is_passive(later)
-
-
-def test_late_news_is_no_news() -> None:
-    """It reads at once, and does not follow that peer for a while."""
-    found = reader()
-    found.on_peer_update('g-1', 'a', True, START)
-    found.on_relayed('g-1', START)
+    assert not selection.is_passive(later)
+    selection.on_store_failure(later)
+    assert not selection.is_passive(later)
+    selection.on_store_failure(later)
+    assert selection.is_passive(later)
+    selection.on_store_success()
+    selection.on_peer_update('g-1', 'a', True, later)
+    assert not selection.is_passive(later)
+    selection.on_relayed('g-1', later)
+    assert selection.is_passive(later)
+
+
+def test_late_relay_makes_gateway_read() -> None:
+    """It does not follow that reader again for a while."""
+    selection = reader()
+    selection.on_peer_update('g-1', 'a', True, START)
+    selection.on_relayed('g-1', START)
     later = START + reader_selection.RELAY_TIMEOUT + MS
-    assert found.read_mode(later) is FULL
-    found.on_relay_failed('g-1', later)
-    found.on_peer_update('g-1', 'a', True, later)
-    assert found.reader_to_follow(later) == ''
+    assert selection.read_mode(later) is FULL
+    selection.on_relay_failed('g-1', later)
+    selection.on_peer_update('g-1', 'a', True, later)
+    assert selection.reader_to_follow(later) == ''
     after = later + reader_selection.PEER_BACKOFF_DURATION
-    found.on_peer_update('g-1', 'a', True, after)
-    assert found.reader_to_follow(after) == 'g-1'
-
-
-def test_one_that_the_store_turns_away_follows_any_zone() -> None:
-    """It asks the store at times, and comes back to its own zone."""
-    found = reader('g-1')
-    found.on_peer_update('h-1', 'b', True, START)
-    assert found.reader_to_follow(START) == ''
-    found.on_store_failure(START)
-    assert not found.store_lost
-    assert found.is_reader(START)
-    found.on_store_failure(START)
-    assert found.store_lost
-    assert found.reader_to_follow(START) == 'h-1'
-    found.on_relayed('h-1', START + SECOND)
-    assert found.read_mode(START + SECOND) is NONE
-    found.on_relayed('h-1', START + 2 * SECOND)
-    assert found.read_mode(START + 2 * SECOND) is PROBE
-    assert not found.is_reader(START + 2 * SECOND)
-    found.on_store_success()
-    assert found.reader_to_follow(START + 2 * SECOND) == ''
-
-
-def test_one_that_stops_reading_is_followed_only_when_it_says_so() -> None:
-    """A peer that answered that it does not read."""
-    found = reader()
-    found.on_peer_update('g-1', 'a', True, START)
-    found.on_reader_stopped('g-1')
-    assert found.reader_to_follow(START) == ''
-    found.on_peer_update('g-1', 'a', True, START)
-    assert found.reader_to_follow(START) == 'g-1'
-
-
-def test_a_silent_peer_is_not_followed() -> None:
-    """Its last word is too old."""
-    found = reader()
-    found.on_peer_update('g-1', 'a', True, START)
+    selection.on_peer_update('g-1', 'a', True, after)
+    assert selection.reader_to_follow(after) == 'g-1'
+
+
+def test_gateway_without_store_follows_reader_of_any_zone() -> None:
+    """It probes the store, and reads in its own zone once it answers."""
+    selection = reader('g-1')
+    selection.on_peer_update('h-1', 'b', True, START)
+    assert selection.reader_to_follow(START) == ''
+    selection.on_store_failure(START)
+    assert not selection.store_lost
+    assert selection.is_reader(START)
+    selection.on_store_failure(START)
+    assert selection.store_lost
+    assert selection.reader_to_follow(START) == 'h-1'
+    selection.on_relayed('h-1', START + SECOND)
+    assert selection.read_mode(START + SECOND) is NONE
+    selection.on_relayed('h-1', START + 2 * SECOND)
+    assert selection.read_mode(START + 2 * SECOND) is PROBE
+    assert not selection.is_reader(START + 2 * SECOND)
+    selection.on_store_success()
+    assert selection.reader_to_follow(START + 2 * SECOND) == ''
+
+
+def test_stopped_reader_is_followed_only_after_new_update() -> None:
+    """Following it at once would fail again and again."""
+    selection = reader()
+    selection.on_peer_update('g-1', 'a', True, START)
+    selection.on_reader_stopped('g-1')
+    assert selection.reader_to_follow(START) == ''
+    selection.on_peer_update('g-1', 'a', True, START)
+    assert selection.reader_to_follow(START) == 'g-1'
+
+
+def test_silent_peer_is_not_followed() -> None:
+    """Its process may have ended."""
+    selection = reader()
+    selection.on_peer_update('g-1', 'a', True, START)
     assert (
-        found.reader_to_follow(START + reader_selection.PEER_TIMEOUT + MS)
+        selection.reader_to_follow(START + reader_selection.PEER_TIMEOUT + MS)
         == ''
     )
 
 
-def test_only_the_first_of_a_zone_asks_a_lost_store_quickly() -> None:
-    """The others hear from it when the store is back."""
-    found = reader('g-2')
-    found.on_peer_update('h-1', 'b', False, START)
+def test_only_first_gateway_of_zone_retries_lost_store_quickly() -> None:
+    """Retries of all gateways would load the store and cost money."""
+    selection = reader('g-2')
+    selection.on_peer_update('h-1', 'b', False, START)
     assert (
-        found.max_retry_delay(START)
+        selection.max_retry_delay(START)
         == reader_selection.FIRST_HOST_MAX_RETRY_DELAY
     )
-    found.on_peer_update('g-1', 'a', False, START)
+    selection.on_peer_update('g-1', 'a', False, START)
     assert (
-        found.max_retry_delay(START)
+        selection.max_retry_delay(START)
         == reader_selection.OTHER_HOST_MAX_RETRY_DELAY
     )
     later = START + reader_selection.PEER_TIMEOUT + MS
     assert (
-        found.max_retry_delay(later)
+        selection.max_retry_delay(later)
         == reader_selection.FIRST_HOST_MAX_RETRY_DELAY
     )
