--- a/src/aspenfold/_internal/models/__init__.py
+++ b/src/aspenfold/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Validated models at the border: files, log records, host list."""
+"""Validated models of external data: files, log records, host list."""
--- a/src/aspenfold/_internal/models/base.py
+++ b/src/aspenfold/_internal/models/base.py
@@ -1,4 +1,4 @@
-"""The base of border models and the wording of their errors."""
+"""Base class of the models, and loading of JSON files with clear errors."""
 
 import json
 import pathlib
@@ -17,7 +17,7 @@
 
 
 class Model(pydantic.BaseModel):
-    """A strict, immutable model that refuses unknown keys."""
+    """An immutable model that rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -26,7 +26,10 @@
 
 
 def format_errors(exc: pydantic.ValidationError) -> str:
-    """Return one line for each error: path, problem and value."""
+    """Return the errors, each with path, problem and value, joined by "; ".
+
+    At most :const:`MAX_ERRORS_SHOWN` errors are listed.
+    """
     lines = []
     for error in exc.errors(include_url=False)[:MAX_ERRORS_SHOWN]:
         path = '.'.join(str(part) for part in error['loc']) or '(top level)'
@@ -37,12 +40,15 @@
 
 
 def first_error_path(exc: pydantic.ValidationError) -> str:
-    """Return the JSON path of the first error."""
+    """Return the dotted path of the field of the first error."""
     return '.'.join(str(part) for part in exc.errors()[0]['loc'])
 
 
 def load_json(path: str, *, code: exceptions.Code) -> object:
-    """Read a JSON file or raise a coded error that names it."""
+    """Return the value in a JSON file.
+
+    Raises ConfigError with ``code`` if it cannot be read or decoded.
+    """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
         return json.loads(text)
@@ -52,7 +58,7 @@
         detail = f'{path} is not UTF-8 text'
     except json.JSONDecodeError as exc:
         detail = (
-            f'{path} is not JSON: {exc.msg} at line {exc.lineno}, '
+            f'{path} is not valid JSON: {exc.msg} at line {exc.lineno}, '
             f'column {exc.colno}'
         )
     raise exceptions.ConfigError(
@@ -60,13 +66,16 @@
             code=code,
             detail=detail,
             field=path,
-            remedy='name a readable JSON file',
+            remedy='give the path of a readable JSON file',
         )
     )
 
 
 def load_model(path: str, cls: type[M], *, code: exceptions.Code) -> M:
-    """Read and validate a JSON file as ``cls``."""
+    """Return a JSON file validated as ``cls``.
+
+    Raises ConfigError with ``code`` if it is unreadable or invalid.
+    """
     data = load_json(path, code=code)
     try:
         return cls.model_validate(data)
@@ -76,7 +85,7 @@
                 code=code,
                 detail=f'{path}: {format_errors(exc)}',
                 field=first_error_path(exc),
-                remedy='correct the named fields; see '
-                'docs/CONFIGURATION.md for the allowed ones',
+                remedy='correct these fields; docs/CONFIGURATION.md lists '
+                'the allowed ones',
             )
         ) from None
--- a/src/aspenfold/_internal/models/fleet.py
+++ b/src/aspenfold/_internal/models/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet file: the whole desired fleet as one JSON document."""
+"""Model of the fleet file, the desired fleet as one JSON document."""
 
 import collections
 import enum
@@ -9,7 +9,7 @@
 from aspenfold._internal.models import base
 
 ANY = '*'
-"""Matches every value in a rule."""
+"""Value of a rule's field that matches everything."""
 
 
 RoutingName = typing.Literal[
@@ -95,7 +95,7 @@
     checks_fencing: bool = False
 
     def operation(self, name: str) -> Operation | None:
-        """Return the operation called ``name``."""
+        """Return the operation called ``name``, or None."""
         return next((op for op in self.operations if op.name == name), None)
 
 
@@ -119,11 +119,11 @@
     planner: PlannerName = 'priced'
 
     @pydantic.model_validator(mode='after')
-    def _slots_hold_experts(self) -> 'Group':
+    def _check_slots(self) -> 'Group':
         if self.ranks * self.slots_per_rank < self.experts:
             raise ValueError(
-                f'{self.ranks} ranks of {self.slots_per_rank} slots cannot '
-                f'hold {self.experts} experts'
+                f'{self.ranks} ranks with {self.slots_per_rank} slots each '
+                f'cannot hold {self.experts} experts'
             )
         return self
 
@@ -139,7 +139,7 @@
     max_deadline_ms: int = pydantic.Field(default=600_000, gt=0)
 
     def matches(self, organisation: str, service: str, operation: str) -> bool:
-        """Return whether the rule applies to such a request."""
+        """Return whether the rule applies to the request."""
         return (
             self.organisation in (ANY, organisation)
             and self.service in (ANY, service)
@@ -167,17 +167,17 @@
         }
 
     def service(self, name: str) -> Service | None:
-        """Return the service called ``name``."""
+        """Return the service called ``name``, or None."""
         return next((s for s in self.services if s.name == name), None)
 
     def organisation(self, name: str) -> Organisation | None:
-        """Return the organisation called ``name``."""
+        """Return the organisation called ``name``, or None."""
         return next((o for o in self.organisations if o.name == name), None)
 
     def rule_for(
         self, organisation: str, service: str, operation: str
     ) -> Rule | None:
-        """Return the first rule that matches."""
+        """Return the first rule that matches the request, or None."""
         return next(
             (
                 rule
@@ -188,42 +188,44 @@
         )
 
     @pydantic.model_validator(mode='after')
-    def _references_resolve(self) -> 'Fleet':
+    def _check_references(self) -> 'Fleet':
         problems = [
-            *_twice('regions', [r.name for r in self.regions]),
-            *_twice('organisations', [o.name for o in self.organisations]),
-            *_twice('services', [s.name for s in self.services]),
-            *_twice('groups', [g.name for g in self.groups]),
-            *self._bad_workers(),
-            *self._bad_groups(),
-            *self._bad_rules(),
+            *_duplicates('regions', [r.name for r in self.regions]),
+            *_duplicates(
+                'organisations', [o.name for o in self.organisations]
+            ),
+            *_duplicates('services', [s.name for s in self.services]),
+            *_duplicates('groups', [g.name for g in self.groups]),
+            *self._invalid_workers(),
+            *self._invalid_groups(),
+            *self._invalid_rules(),
         ]
         if problems:
             raise ValueError('; '.join(problems))
         return self
 
-    def _bad_workers(self) -> list[str]:
+    def _invalid_workers(self) -> list[str]:
         zones = self.zones()
         return [
-            f'services.{i}.workers.{zone}: no such availability zone, '
+            f'services.{i}.workers.{zone}: no such availability zone; '
             f'use one of {sorted(zones)}'
             for i, service in enumerate(self.services)
             for zone in service.workers
             if zone not in zones
         ]
 
-    def _bad_groups(self) -> list[str]:
+    def _invalid_groups(self) -> list[str]:
         models = sorted(
             s.name for s in self.services if s.kind is ServiceKind.MODEL
         )
         return [
-            f'groups.{i}.service: {group.service!r} is no model service, '
+            f'groups.{i}.service: {group.service!r} is not a model service; '
             f'use one of {models}'
             for i, group in enumerate(self.groups)
             if group.service not in models
         ]
 
-    def _bad_rules(self) -> list[str]:
+    def _invalid_rules(self) -> list[str]:
         problems = []
         known = {
             'organisation': {o.name for o in self.organisations},
@@ -237,13 +239,13 @@
                 value = getattr(rule, field)
                 if value != ANY and value not in allowed:
                     problems.append(
-                        f'rules.{i}.{field}: no such {field} {value!r}, '
+                        f'rules.{i}.{field}: no such {field} {value!r}; '
                         f'use one of {sorted(allowed)}'
                     )
         return problems
 
 
-def _twice(field: str, values: list[str]) -> list[str]:
+def _duplicates(field: str, values: list[str]) -> list[str]:
     counts = collections.Counter(values)
     repeated = sorted(name for name, count in counts.items() if count > 1)
-    return [f'{field}: {name!r} stands twice' for name in repeated]
+    return [f'{field}: {name!r} is listed more than once' for name in repeated]
--- a/src/aspenfold/_internal/models/hosts.py
+++ b/src/aspenfold/_internal/models/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list as aspenfold reads it."""
+"""Model of the platform's host list."""
 
 import enum
 import ipaddress
@@ -9,21 +9,21 @@
 
 
 class HostState(enum.StrEnum):
-    """What the platform says of a host."""
+    """State of a host according to the platform."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class Role(enum.StrEnum):
-    """What a host does for aspenfold."""
+    """Role of a host."""
 
     ENTRY = 'entry'
     ENDPOINT = 'endpoint'
 
 
 class Host(base.Model):
-    """One host: an entry, or an endpoint with its agent's address."""
+    """An entry host, or an endpoint with the address of its agent."""
 
     name: base.Name
     availability_zone: base.Name
@@ -38,7 +38,7 @@
 
 
 class HostList(base.Model):
-    """A reading of the host list; ``version`` only ever grows."""
+    """The host list; ``version`` increases with each change."""
 
     version: int
     hosts: list[Host]
--- a/src/aspenfold/_internal/models/records.py
+++ b/src/aspenfold/_internal/models/records.py
@@ -1,7 +1,7 @@
-"""Records on the log: every kind that aspenfold writes and folds.
+"""Models of the records on the log.
 
-Each record carries a unique ``id``, so that a writer whose append
-answer was lost finds out by reading whether it took effect.
+Each record has a unique ``id``.  A writer whose append got no answer
+finds its record by this id when it reads the log.
 """
 
 import typing
@@ -12,16 +12,16 @@
 from aspenfold._internal.models import fleet
 
 FLEET_STREAM = 'fleet'
-"""Configuration, leases, map plans, membership and snapshots."""
+"""Stream of configuration, leases, map plans, membership and snapshots."""
 
 
 def claim_stream(index: int) -> str:
-    """Return the name of a stream of idempotency-key claims."""
+    """Return the name of the claim stream number ``index``."""
     return f'claims-{index}'
 
 
 class Record(base.Model):
-    """What all records share."""
+    """Fields of all records; ``at`` is the writer's time."""
 
     id: str
     author: str
@@ -29,7 +29,10 @@
 
 
 class ConfigChange(Record):
-    """A whole-fleet change as a JSON patch against ``base_version``."""
+    """A change of the fleet, as a JSON patch of version ``base_version``.
+
+    ``digest`` is that of the patched document.
+    """
 
     type: typing.Literal['config'] = 'config'
     base_version: int
@@ -39,9 +42,10 @@
 
 
 class LeaseGrant(Record):
-    """Asks for a lease; valid only if ``prior_token`` is the last one.
+    """A request for a lease.
 
-    The offset of a valid grant is its fencing token.
+    It is valid only if ``prior_token`` is the lease's current fencing
+    token.  The offset of a valid grant is the new fencing token.
     """
 
     type: typing.Literal['lease'] = 'lease'
@@ -52,7 +56,7 @@
 
 
 class MembershipChange(Record):
-    """An operator's or a lease holder's change of an endpoint's state."""
+    """A change of an endpoint's state by an operator or lease holder."""
 
     type: typing.Literal['membership'] = 'membership'
     endpoint: str
@@ -61,7 +65,11 @@
 
 
 class MapPlan(Record):
-    """A planned expert map of a group, under the planner's lease."""
+    """A planned expert map of a group.
+
+    ``placement[r]`` lists the experts of rank ``r``.  It is valid only if
+    ``lease_token`` is the fencing token of the lease for planning.
+    """
 
     type: typing.Literal['map'] = 'map'
     group: str
@@ -86,7 +94,7 @@
 
 
 class MapState(base.Model):
-    """A group's newest map in a snapshot."""
+    """A group's newest expert map in a snapshot."""
 
     version: int
     record_id: str
@@ -94,7 +102,7 @@
 
 
 class StateDocument(base.Model):
-    """The whole folded state, in a snapshot or from a peer."""
+    """The state of the fleet stream, in a snapshot or from a peer."""
 
     next_offset: int = pydantic.Field(ge=1)
     version: int = pydantic.Field(ge=0)
@@ -104,14 +112,14 @@
     maps: dict[str, MapState]
 
     @pydantic.model_validator(mode='after')
-    def _holds_a_fleet(self) -> 'StateDocument':
+    def _check_document(self) -> 'StateDocument':
         if self.version:
             fleet.Fleet.model_validate(self.document)
         return self
 
 
 class Snapshot(Record):
-    """The folded state up to, not including, offset ``covers``."""
+    """The state after all records before offset ``covers``."""
 
     type: typing.Literal['snapshot'] = 'snapshot'
     covers: int
@@ -119,9 +127,11 @@
     state: StateDocument
 
     @pydantic.model_validator(mode='after')
-    def _covers_its_state(self) -> 'Snapshot':
+    def _check_offset(self) -> 'Snapshot':
         if self.covers != self.state.next_offset:
-            raise ValueError('covers is not the next offset of the state')
+            raise ValueError(
+                'covers differs from the next offset of the state'
+            )
         return self
 
 
@@ -135,11 +145,11 @@
 
 
 class Claim(base.Model):
-    """One entry's claim of an idempotency key for one attempt.
+    """A claim of an idempotency key for one attempt.
 
-    Valid only if the key's holder is the attempt ``supersedes`` (empty:
-    the key is free).  Whoever writes ``supersedes`` holds proof that
-    the superseded attempt will never run.
+    It is valid only if the attempt ``supersedes`` holds the key, or if
+    ``supersedes`` is empty and the key is free.  A claim may supersede
+    an attempt only if that attempt certainly never runs.
     """
 
     key: str
@@ -152,7 +162,7 @@
 
 
 class ClaimBatch(Record):
-    """Claims appended together while an earlier append was in flight."""
+    """Claims that were appended as one record."""
 
     type: typing.Literal['claims'] = 'claims'
     claims: list[Claim]
--- a/src/aspenfold/_internal/models/settings.py
+++ b/src/aspenfold/_internal/models/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the programs, in JSON."""
+"""Models of the programs' settings files, in JSON."""
 
 import ipaddress
 import typing
@@ -20,7 +20,7 @@
 
     @property
     def url(self) -> str:
-        """The address as an HTTP base URL."""
+        """The address as an HTTP base URL, without a final slash."""
         return f'http://{self.address}:{self.port}'
 
 
@@ -83,5 +83,8 @@
 
 
 def load(path: str, cls: type[S]) -> S:
-    """Read a settings file, or raise an error that names the field."""
+    """Return a settings file validated as ``cls``.
+
+    Raises ConfigError, naming the field, if it is unreadable or invalid.
+    """
     return base.load_model(path, cls, code=exceptions.Code.SETTINGS_INVALID)
--- a/tests/unit/test_files.py
+++ b/tests/unit/test_files.py
@@ -47,7 +47,7 @@
         (('organisations', 0, 'name'), 'Big Shop', 'organisations.0.name'),
         (('organisations', 0, 'weight'), 0, 'organisations.0.weight'),
         (('organisations', 0, 'credential_sha256'), ['x'], 'should match'),
-        (('services', 1, 'name'), 'till', "'till' stands twice"),
+        (('services', 1, 'name'), 'till', "'till' is listed more than once"),
     ],
 )
 def test_fleet_mistakes(
