--- a/src/aspenfold/_internal/network/http.py
+++ b/src/aspenfold/_internal/network/http.py
@@ -14,7 +14,7 @@
 def connection_pool(
     base_url: str, *, size: int = 4
 ) -> urllib3.HTTPConnectionPool:
-    """Return a pool of up to ``size`` connections, without retries."""
+    """Return a pool without retries that keeps ``size`` connections."""
     return urllib3.connection_from_url(
         base_url,
         maxsize=size,
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -85,7 +85,7 @@
         """Close the connection, leaving the response incomplete."""
 
     async def drain(self) -> None:
-        """Wait until the write buffer is below its limit.
+        """Wait while the write buffer is over its limit.
 
         Raises CallerDisconnected.
         """
@@ -355,7 +355,7 @@
             self._transport.close()
 
     async def drain(self) -> None:
-        """Wait until the write buffer is below its limit.
+        """Wait while the write buffer is over its limit.
 
         Raises CallerDisconnected.
         """
@@ -410,7 +410,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Start listening; return the port, chosen freely if given as 0."""
+        """Start listening; return the port, which 0 leaves to the system."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(owner=self),
--- a/src/aspenfold/_internal/network/http_api.py
+++ b/src/aspenfold/_internal/network/http_api.py
@@ -48,8 +48,8 @@
     ) -> response_queue.ResponseQueue:
         """Submit a request; its response arrives in the returned queue."""
 
-    def caller_left(self, request_id: str) -> None:
-        """The caller closed its connection."""
+    def on_caller_left(self, request_id: str) -> None:
+        """Handle a caller that closed its connection."""
 
     def admin(
         self, name: str, body: dict[str, typing.Any]
@@ -230,7 +230,7 @@
                 part = response.take(DISCONNECT_CHECK_INTERVAL_S)
         finally:
             if not ended:
-                self._loop.caller_left(request_id)
+                self._loop.on_caller_left(request_id)
 
     def _next_part(
         self, response: response_queue.ResponseQueue
--- a/src/aspenfold/_internal/network/log_client.py
+++ b/src/aspenfold/_internal/network/log_client.py
@@ -8,7 +8,7 @@
 from aspenfold._internal.network import http
 
 LONG_POLL_WAIT_MS = 2000
-MAX_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 READ_TIMEOUT_MARGIN_S = 3.0
 """Seconds that a response may take beyond the wait of a long poll."""
 
@@ -17,7 +17,7 @@
     """Appends to and reads streams; its methods block."""
 
     def __init__(self, *, base_url: str) -> None:
-        self._pool = http.connection_pool(base_url, size=MAX_CONNECTIONS)
+        self._pool = http.connection_pool(base_url, size=MAX_IDLE_CONNECTIONS)
 
     def append(self, stream: str, record: records.Record) -> int:
         """Append a record and return its offset.
--- a/src/aspenfold/_internal/network/request_validator.py
+++ b/src/aspenfold/_internal/network/request_validator.py
@@ -50,7 +50,7 @@
 ) -> exceptions.RequestError:
     """Return an error to raise for an invalid request.
 
-    ``field`` names the wrong part, ``remedy`` says how to correct it.
+    ``field`` names the invalid part, ``remedy`` says how to correct it.
     """
     return exceptions.RequestError(
         exceptions.Failure(
@@ -60,7 +60,7 @@
 
 
 class RequestValidator:
-    """Validates requests against a fleet; set it before the first call."""
+    """Validates requests against the fleet given to :meth:`set_fleet`."""
 
     def __init__(self) -> None:
         self._fleet: fleet_model.Fleet | None = None
--- a/src/aspenfold/_internal/network/response_queue.py
+++ b/src/aspenfold/_internal/network/response_queue.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.kernel import frames
 
 MAX_QUEUED_PARTS = 64
-"""Reading from the agent pauses while more parts wait to be sent."""
+"""Reading from the agent pauses once this many parts wait to be sent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -58,7 +58,7 @@
             self._has_space.clear()
 
     async def drain(self) -> None:
-        """Wait until the queue is below its limit."""
+        """Wait while the queue is full, until it has emptied to half."""
         await self._has_space.wait()
 
     def take(self, timeout: float) -> Part | None:
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -120,7 +120,7 @@
         self._loop.call_soon_threadsafe(self._submit_safely, raw, response)
         return response
 
-    def caller_left(self, request_id: str) -> None:
+    def on_caller_left(self, request_id: str) -> None:
         """The caller closed its connection."""
         self._loop.call_soon_threadsafe(self._caller_left, request_id)
 
--- a/src/aspenfold/platform/store.py
+++ b/src/aspenfold/platform/store.py
@@ -188,7 +188,10 @@
 
 
 def _decode_record(offset: int, content: bytes) -> ports.Record:
-    """Decode a key's length, the key and its value, empty if removed."""
+    """Decode a record: the key's length, the key, and the value.
+
+    An empty value removes the key.
+    """
     length = content[0]
     key = content[1 : 1 + length].decode()
     value = content[1 + length :]
