--- a/src/aspenfold/platform/engine.py
+++ b/src/aspenfold/platform/engine.py
@@ -140,7 +140,7 @@
             epoch=decoded.epoch, counts=tuple(decoded.counts)
         )
 
-    async def held(self, host: str, port: int) -> rank_protocol.RankMap:
+    async def rank_map(self, host: str, port: int) -> rank_protocol.RankMap:
         """Return the experts that the rank uses.
 
         Raises ports.EngineUnavailable.
