--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -6,17 +6,17 @@
 import signal
 
 from aspenfold._internal.gateway import core as core_module
-from aspenfold._internal.gateway import dialect as dialect_module
 from aspenfold._internal.gateway import exchange as exchange_module
 from aspenfold._internal.gateway import group_monitor
+from aspenfold._internal.gateway import header_names as header_names_module
 from aspenfold._internal.gateway import leadership as leadership_module
 from aspenfold._internal.gateway import outage
+from aspenfold._internal.gateway import peer_discovery as peer_discovery_module
 from aspenfold._internal.gateway import peers as peers_module
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import rank_client
 from aspenfold._internal.gateway import reader_selection as selection_module
 from aspenfold._internal.gateway import relay
-from aspenfold._internal.gateway import roster as roster_module
 from aspenfold._internal.gateway import settings
 from aspenfold._internal.gateway import store_feeds as feeds_module
 from aspenfold._internal.kernel import clock as clock_module
@@ -50,13 +50,13 @@
         *,
         cfg: settings.GatewaySettings,
         platform: ports.Platform,
-        dialect: dialect_module.HeaderNames,
+        header_names: header_names_module.HeaderNames,
         clock: clock_module.Clock,
     ) -> None:
         self._cfg = cfg
         self._core = core_module.Core(
             cfg=cfg,
-            dialect=dialect,
+            header_names=header_names,
             clock=clock,
             rng=random.Random(secrets.randbits(128)),
         )
@@ -66,8 +66,8 @@
         )
         self._publisher = relay.Publisher(
             snapshot=self._snapshot,
-            reads=lambda: self._selection.is_reader(clock.now()),
-            known=lambda ip: self._peers.is_peer_address(ip),
+            is_reader=lambda: self._selection.is_reader(clock.now()),
+            is_peer_address=lambda ip: self._peers.is_peer_address(ip),
         )
         self._feeds = feeds_module.StoreFeeds(
             platform=platform,
@@ -88,7 +88,7 @@
             selection=self._selection,
             peers=self._peers,
             clock=clock,
-            take=self._take_news,
+            apply=self._apply_relayed,
             local_host=cfg.address,
         )
         ranks_client = rank_client.RankClient(
@@ -108,12 +108,12 @@
             rng=random.Random(secrets.randbits(128)),
             is_passive=self._is_passive,
         )
-        self._roster = roster_module.Roster(
+        self._peer_discovery = peer_discovery_module.PeerDiscovery(
             host=cfg.name,
             address=settings.TcpAddress(host=cfg.address, port=cfg.peer_port),
             store=platform.store,
             peers=self._peers,
-            rests=self._is_passive,
+            is_passive=self._is_passive,
             publish=self._publisher.publish,
         )
         self._tasks = tasks.Tasks()
@@ -167,7 +167,7 @@
         """Listen, and begin to learn the plan and the endpoints."""
         self._tasks.spawn(self._feeds.plan.run())
         self._tasks.spawn(self._feeds.endpoints.run())
-        self._tasks.spawn(self._roster.run())
+        self._tasks.spawn(self._peer_discovery.run())
         self._tasks.spawn(self._tell_peers())
         self._tasks.spawn(self._follower.run())
         self._tasks.spawn(self._groups.run())
@@ -203,7 +203,7 @@
             )
             self._feeds.plan.notify_offset(news.plan_offset)
             for group, age in news.recovery_ages.items():
-                self._core.outages.told(group, age, news.host)
+                self._core.outages.record_peer_recovery(group, age, news.host)
 
         socket = await datagrams.listen(
             self._cfg.address, self._cfg.peer_port, receive
@@ -214,7 +214,7 @@
             self._peers.expire_silent(now)
             self._peers.plan_offset = self._feeds.plan.offset
             self._peers.is_reader = self._selection.is_reader(now)
-            self._peers.recovery_ages = self._core.outages.recovered()
+            self._peers.recovery_ages = self._core.outages.recent_recoveries()
             due = self._peers.next_update(now)
             if due is None:
                 continue
@@ -225,11 +225,11 @@
         return self._selection.is_passive(self._clock.now())
 
     def _snapshot(self) -> list[relay.RelayedRecords]:
-        return [self._roster.snapshot(), *self._feeds.snapshot()]
+        return [self._peer_discovery.snapshot(), *self._feeds.snapshot()]
 
-    def _take_news(self, news: relay.RelayedRecords) -> None:
+    def _apply_relayed(self, news: relay.RelayedRecords) -> None:
         self._feeds.apply_relayed(news)
-        self._roster.relayed(news)
+        self._peer_discovery.apply_relayed(news)
 
     def _reload(self) -> None:
         """SIGHUP: all that can change is read from the store anyway."""
@@ -245,7 +245,7 @@
         self._in_flight += 1
         try:
             exchange = exchange_module.Exchange(
-                core=self._core, request=request, answer=answer
+                core=self._core, request=request, response=answer
             )
             await exchange.run()
         finally:
@@ -255,7 +255,7 @@
     def ready(self) -> bool:
         """Whether requests can be served here."""
         return (
-            self._core.table is not None
+            self._core.plan_index is not None
             and len(self._core.directory) > 0
             and not self._core.draining
         )
@@ -277,7 +277,7 @@
 
     def outage(self, service: str, group: str = '') -> outage.Outage:
         """Return what is known of a group of ranks standing still."""
-        return self._core.outages.of(service, group)
+        return self._core.outages.get(service, group)
 
     @property
     def plan_version(self) -> int:
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -25,7 +25,7 @@
         process = gateway.GatewayProcess(
             cfg=cfg,
             platform=platform,
-            dialect=headers.HEADER_NAMES,
+            header_names=headers.HEADER_NAMES,
             clock=clock.MonotonicClock(),
         )
         await process.run()
