--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway with real sockets: one answer, and never a false one."""
+"""Tests of the gateway over real sockets."""
 
 import asyncio
 from collections import abc
@@ -13,7 +13,7 @@
 SEAL = 'x-aspenfold-response-seal'
 
 ENDLESS_PART = 65_536
-"""Bytes that an endpoint writes at once of an event without an end."""
+"""Bytes of an endless event that an endpoint writes at once."""
 
 
 def play(
@@ -41,12 +41,12 @@
 
 
 def runs(rig: rigs.Rig) -> int:
-    """Return how often endpoints ran anything."""
+    """Return how many requests all endpoints ran."""
     return sum(sum(worker.runs.values()) for worker in rig.workers)
 
 
-def test_an_answer_is_passed_on_whole() -> None:
-    """Body, status and signature are the endpoint's."""
+def test_a_response_is_forwarded_unchanged() -> None:
+    """Status, body and signature must be those of the endpoint."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -63,8 +63,8 @@
     play(scene)
 
 
-def test_the_endpoint_gets_what_it_should_know_and_no_key() -> None:
-    """Organisation, time left and incarnation; not the credential."""
+def test_the_endpoint_gets_the_gateways_headers_but_no_api_key() -> None:
+    """Forged values from the caller must be replaced."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -96,8 +96,10 @@
         ('/open/', '', 200),
     ],
 )
-def test_routes_and_keys(path: str, key: str, status: int) -> None:
-    """Paths without a route are 404, unknown keys 401."""
+def test_unknown_routes_and_keys_are_refused(
+    path: str, key: str, status: int
+) -> None:
+    """Paths without a route get a 404, unknown keys a 401."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -107,8 +109,8 @@
     play(scene)
 
 
-def test_without_a_plan_nothing_is_denied() -> None:
-    """A process that knows no plan says 503, and is not ready."""
+def test_without_a_plan_requests_get_a_503() -> None:
+    """A 404 or 401 would be wrong, and the process must not be ready."""
 
     async def scene(rig: rigs.Rig) -> None:
         answer = await rig.ask('/safe/')
@@ -134,12 +136,12 @@
     asyncio.run(run())
 
 
-def test_a_safe_failure_is_tried_elsewhere() -> None:
-    """The caller sees only the whole answer."""
+def test_a_failed_safe_request_is_retried_at_another_endpoint() -> None:
+    """The caller must get only the complete response."""
 
     async def scene(rig: rigs.Rig) -> None:
         bad, _ = await two(rig, workers.failing, workers.whole)
-        # Each is as likely to be asked first: eight times are not enough.
+        # Either endpoint may be chosen first.
         for _ in range(64):
             answer = await rig.ask('/safe/')
             if bad.arrivals:
@@ -165,7 +167,7 @@
 def test_an_unsafe_request_that_may_have_run_runs_once(
     script: workers.Script, status: int
 ) -> None:
-    """It is not sent again, and no answer says that it has not run."""
+    """It must not be sent again or reported as not run."""
 
     async def scene(rig: rigs.Rig) -> None:
         await two(rig, script, script)
@@ -177,8 +179,8 @@
     play(scene)
 
 
-def test_an_unsafe_request_goes_on_after_proof_of_not_run() -> None:
-    """Refused connections and refusals allow another endpoint."""
+def test_an_unsafe_request_is_retried_if_it_has_not_run() -> None:
+    """A refused connection proves that it has not run."""
 
     async def scene(rig: rigs.Rig) -> None:
         shut, _ = await two(rig, workers.whole, workers.whole)
@@ -190,8 +192,8 @@
     play(scene)
 
 
-def test_connections_that_fail_cost_no_retry() -> None:
-    """No endpoint got anything, so nothing is sent again."""
+def test_failed_connections_do_not_use_the_retry_budget() -> None:
+    """Nothing was sent, so nothing is retried."""
 
     async def scene(rig: rigs.Rig) -> None:
         shut, _ = await two(rig, workers.whole, workers.whole)
@@ -205,8 +207,8 @@
     play(scene)
 
 
-def test_attempts_are_bounded_by_the_route() -> None:
-    """With one attempt allowed a refusal is the answer, and it is true."""
+def test_attempts_are_limited_by_the_route() -> None:
+    """With one attempt allowed, a refusal must not be retried."""
 
     async def scene(rig: rigs.Rig) -> None:
         await two(rig, workers.full, workers.full)
@@ -219,8 +221,8 @@
     play(scene)
 
 
-def test_an_answer_without_a_length_is_whole_at_its_end() -> None:
-    """It gets a length towards the caller."""
+def test_a_response_without_a_length_ends_with_its_connection() -> None:
+    """The caller gets it with a length."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1', workers.unframed)
@@ -232,8 +234,8 @@
     play(scene)
 
 
-def test_an_address_that_changed_hands_runs_nothing() -> None:
-    """421 tells that another incarnation is there; it is not used."""
+def test_a_request_does_not_run_at_another_incarnation() -> None:
+    """A 421 shows that another incarnation uses the address."""
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1')
@@ -247,16 +249,16 @@
 
 
 def whole_stream(count: int = 10) -> bytes:
-    """Return a whole stream's bytes."""
+    """Return the bytes of a complete stream."""
     return b''.join(workers.event(n) for n in range(1, count + 1))
 
 
-def test_a_broken_stream_goes_on_at_the_next_event() -> None:
-    """Each event comes once; head and signature stay the first's."""
+def test_an_interrupted_stream_is_resumed_at_the_next_event() -> None:
+    """Events must not repeat, and the first response head is kept."""
 
     async def scene(rig: rigs.Rig) -> None:
         broken, _ = await two(rig, workers.stream_broken, workers.stream)
-        # Either endpoint is as likely; eight tries missed one in 256 runs.
+        # Either endpoint may be chosen first.
         for _ in range(64):
             answer = await rig.ask('/stream/', body='x')
             assert answer.whole
@@ -270,8 +272,8 @@
     play(scene)
 
 
-def test_a_stream_that_cannot_be_resumed_looks_broken() -> None:
-    """It is not run again, and has no proper end."""
+def test_a_stream_that_cannot_be_resumed_is_aborted() -> None:
+    """It must not run again or look complete."""
 
     async def scene(rig: rigs.Rig) -> None:
         await two(rig, workers.stream_broken, workers.stream_broken)
@@ -284,8 +286,8 @@
     play(scene)
 
 
-def test_events_are_passed_on_as_they_come() -> None:
-    """The first is there while the endpoint still makes others."""
+def test_events_are_forwarded_immediately() -> None:
+    """The first event must arrive before the stream is complete."""
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.stream)
@@ -303,10 +305,10 @@
 
 
 @pytest.mark.parametrize('script', [workers.hang, workers.stream])
-def test_a_callers_close_reaches_the_endpoint(
+def test_a_disconnect_of_the_caller_cancels_the_request(
     script: workers.Script,
 ) -> None:
-    """Before the first event, and in the middle of a stream."""
+    """Both before the first event and during a stream."""
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', script)
@@ -322,8 +324,8 @@
     play(scene)
 
 
-def test_a_routes_timeout_ends_the_wait() -> None:
-    """A request that may have run is answered 504, at the timeout."""
+def test_a_request_ends_at_the_timeout_of_the_route() -> None:
+    """A request that may have run must get a 504."""
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.hang)
@@ -335,8 +337,8 @@
     play(scene)
 
 
-def test_a_broken_group_is_not_tried_twice() -> None:
-    """Its caller is told at once to come back late."""
+def test_an_unavailable_group_is_not_tried_twice() -> None:
+    """The caller must be refused with a long Retry-After."""
 
     async def scene(rig: rigs.Rig) -> None:
         for name in ('w-1', 'w-2'):
@@ -350,8 +352,8 @@
     play(scene)
 
 
-def test_a_full_group_is_not_queued_at_by_a_first_request() -> None:
-    """It is told when to come back, and is then sent on."""
+def test_a_first_request_is_not_queued_at_a_full_group() -> None:
+    """It must be refused, and its retry sent to the group."""
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.hang, 'model')
@@ -376,8 +378,8 @@
 
 
 @pytest.mark.parametrize('how', ['draining', 'removed'])
-def test_an_endpoint_that_leaves_gets_no_more(how: str) -> None:
-    """From its own word in the store, or its removal."""
+def test_an_endpoint_that_leaves_gets_no_more_requests(how: str) -> None:
+    """Both after its record says draining and after its removal."""
 
     async def scene(rig: rigs.Rig) -> None:
         leaving, _ = await two(rig, workers.whole, workers.whole)
@@ -388,7 +390,7 @@
             entry = leaving.entry('plain', 'draining')
             await rig.store.put(topic, 'w-1', entry)
         await rigs.until(lambda: rig.process.routable('plain') == 1)
-        # What was learnt stays in force while the store is away.
+        # The state is kept while the store is unavailable.
         rig.store.trouble = rig.store.trouble.RESET
         before = len(leaving.arrivals)
         for _ in range(6):
@@ -398,8 +400,8 @@
     play(scene)
 
 
-def test_a_new_plan_takes_force_and_an_old_one_never() -> None:
-    """Also after the history was dropped, and from old readings."""
+def test_only_newer_plans_are_applied() -> None:
+    """Also if the history was trimmed or a read returns old records."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -420,8 +422,8 @@
     play(scene)
 
 
-def test_a_record_that_is_no_plan_changes_nothing() -> None:
-    """The plan before stays in force, and reading goes on."""
+def test_an_invalid_plan_is_ignored() -> None:
+    """The previous plan must stay in use and later ones be read."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -434,8 +436,8 @@
     play(scene)
 
 
-def test_ending_finishes_what_runs() -> None:
-    """Health turns bad at once; a stream in flight comes whole."""
+def test_shutdown_completes_requests_in_flight() -> None:
+    """The process is not ready any more, but streams must complete."""
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.stream)
@@ -479,8 +481,8 @@
         ),
     ],
 )
-def test_improper_requests_are_refused(data: bytes, status: int) -> None:
-    """They reach no endpoint, and the next connection is served."""
+def test_invalid_requests_are_refused(data: bytes, status: int) -> None:
+    """They must not reach an endpoint or affect other connections."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -492,8 +494,8 @@
     play(scene)
 
 
-def test_a_kept_connection_serves_requests_in_order() -> None:
-    """Also when they are sent at once."""
+def test_a_persistent_connection_serves_requests_in_order() -> None:
+    """Also if they are pipelined."""
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
@@ -514,7 +516,7 @@
 async def endless_event(
     worker: workers.Worker, exchange: http11.Exchange
 ) -> None:
-    """Give one event, and begin another that never ends."""
+    """Send one event and start another that never ends."""
     worker.ran(exchange)
     lines = [f'{n}: {v}' for n, v in worker.headers(exchange).items()]
     lines += ['content-type: text/event-stream']
@@ -525,8 +527,8 @@
     await asyncio.Event().wait()
 
 
-def test_an_event_without_an_end_is_not_kept() -> None:
-    """The stream is broken off, and looks so; no other endpoint is asked."""
+def test_an_endless_event_is_not_buffered() -> None:
+    """The stream must be aborted and not be resumed elsewhere."""
 
     async def scene(rig: rigs.Rig) -> None:
         await two(rig, endless_event, endless_event)
@@ -534,8 +536,10 @@
         assert answer.status == 200
         assert not answer.whole
         assert runs(rig) == 1
-        # Not by the route's timeout, up to which it would be kept.
-        told = rig.process._core.metrics.text().decode()
-        assert 'aspenfold_broken_streams_total{label="oversized"} 1.0' in told
+        # The size limit must end the stream, not the route's timeout.
+        metrics = rig.process._core.metrics.text().decode()
+        assert (
+            'aspenfold_broken_streams_total{label="oversized"} 1.0' in metrics
+        )
 
     play(scene)
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -1,4 +1,4 @@
-"""Gateways before a group of ranks that stands still."""
+"""Tests of gateways whose group of ranks is unavailable."""
 
 import asyncio
 import random
@@ -14,23 +14,23 @@
 RANKS = 2
 
 RELEASE_S = 0.2
-"""How long the stand-in takes for an order that lets a pass go."""
+"""Time the stand-in takes to release a pass, in seconds."""
 
 
 class SlowRelease(group_module.Group):
-    """A group whose passes are let go slowly."""
+    """A group that releases held passes slowly."""
 
     async def order(
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
-        """Carry an order out, a release after a while."""
+        """Apply an order; delay a release."""
         if group_module.OPS[message['op']] is rank_protocol.Op.RELEASE:
             await asyncio.sleep(RELEASE_S)
         return await super().order(rank, message)
 
 
 def plan() -> dict[str, object]:
-    """Return a plan whose model service has the group's shape."""
+    """Return a plan with the group's sizes for the model service."""
     engine = {
         'sets': 1,
         'experts': group_module.EXPERTS,
@@ -42,7 +42,7 @@
 
 
 async def add_ranks(rig: rigs.Rig, group: group_module.Group) -> None:
-    """Start the group's ranks and list them."""
+    """Start the group's ranks and register them."""
     for number in range(RANKS):
         worker = group_module.RankWorker(
             f'rank-{number}', group=group, rank=number
@@ -53,10 +53,10 @@
         await rig.store.put(rigs.endpoint_records.TOPIC, worker.name, entry)
 
 
-async def standing(
+async def unavailable_group(
     rig: rigs.Rig,
 ) -> tuple[workers.Worker, outage_module.Outage]:
-    """Add a group that has stood for most of the usual time."""
+    """Add a group that was unavailable for most of the usual outage."""
     worker = await rig.add_worker('w-1', workers.group_down, 'model')
     await rig.ready()
     assert (await rig.ask('/model/')).status == 503
@@ -66,8 +66,8 @@
     return worker, outage
 
 
-def test_a_leader_that_ends_leaves_no_pass_held() -> None:
-    """No other could take over while the store is away."""
+def test_a_leader_releases_the_held_pass_when_it_exits() -> None:
+    """No other leader can take over while the store is unavailable."""
 
     async def run() -> None:
         group = SlowRelease(size=RANKS, rng=random.Random(1))
@@ -88,12 +88,12 @@
     asyncio.run(run())
 
 
-def test_a_returned_caller_waits_for_a_group_that_opens_soon() -> None:
-    """Another caller's request shows that it runs; both are served."""
+def test_a_retry_waits_for_a_group_that_recovers_soon() -> None:
+    """The recovery is detected by another request; both must be served."""
 
     async def run() -> None:
         async with rigs.running() as rig:
-            worker, outage = await standing(rig)
+            worker, outage = await unavailable_group(rig)
             waiting = asyncio.ensure_future(
                 rig.ask('/model/', **rigs.time_left(3.0))
             )
@@ -109,12 +109,12 @@
     asyncio.run(run())
 
 
-def test_a_wait_in_vain_ends_with_a_true_refusal() -> None:
-    """Well before the caller leaves, and after a last try."""
+def test_a_wait_without_a_recovery_ends_with_a_refusal() -> None:
+    """The caller must get it before it gives up, and nothing may run."""
 
     async def run() -> None:
         async with rigs.running() as rig:
-            worker, _ = await standing(rig)
+            worker, _ = await unavailable_group(rig)
             answer = await rig.ask('/model/', **rigs.time_left(3.0))
             assert answer.status == 503
             assert 'retry-after' in answer.headers
@@ -123,8 +123,8 @@
     asyncio.run(run())
 
 
-def test_those_who_waited_keep_to_the_retry_budget() -> None:
-    """All wake at once; the budget is looked at again then."""
+def test_waiting_requests_respect_the_retry_budget() -> None:
+    """All continue at once, so the budget must be checked after the wait."""
 
     async def run() -> None:
         route = rigs.route(
@@ -142,7 +142,7 @@
             worker.script = workers.stream
             assert (await rig.ask('/model/')).status == 200
             answers = [await task for task in waiting]
-            # A new process may send one request again.
+            # The budget of a new process allows one retry.
             assert rigs.asked(worker, '/model/') == 4 + 1 + 1
             statuses = sorted(answer.status for answer in answers)
             assert statuses == [200, 503, 503, 503]
@@ -150,8 +150,8 @@
     asyncio.run(run())
 
 
-def test_a_group_that_stands_keeps_nobody_from_another() -> None:
-    """Requests go to the group that runs, also the one that found out."""
+def test_an_unavailable_group_does_not_block_another_group() -> None:
+    """All requests must be served by the available group."""
 
     async def run() -> None:
         async with rigs.running() as rig:
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -1,4 +1,4 @@
-"""Which streams are refused at a full group, without I/O."""
+"""Tests of the refusal of streams at groups without free slots."""
 
 import datetime
 
@@ -12,7 +12,7 @@
 
 
 def route(kind: plan.Kind = plan.Kind.STREAMING) -> plan.Route:
-    """Return a route whose callers wait eight seconds."""
+    """Return a route with a timeout of eight seconds."""
     return plan.Route(
         name='r',
         host='h',
@@ -30,7 +30,7 @@
 
 
 def ranks(*in_flight: int, capacity: int = 4) -> list[directory.Endpoint]:
-    """Return ranks with so many requests each."""
+    """Return one rank for each number of requests in flight."""
     return [
         directory.Endpoint(
             listing=directory.Listing(
@@ -49,59 +49,61 @@
 
 
 @pytest.mark.parametrize(
-    ('in_flight', 'since_s', 'left', 'refused'),
+    ('in_flight', 'since_s', 'remaining_s', 'refused'),
     [
         ((3, 3, 2), 1.0, 8.0, True),
-        # What returns is served first.
+        # Retries are accepted.
         ((3, 3, 2), 1.0, 5.0, False),
         ((3, 2, 2), 1.0, 8.0, False),
-        # The backlog is worked off, or there was none.
+        # The backlog is gone, or there was none.
         ((3, 3, 2), 3.0, 8.0, False),
         ((3, 3, 2), None, 8.0, False),
     ],
 )
-def test_first_streams_leave_room_for_a_backlog(
+def test_first_streams_are_refused_while_a_backlog_remains(
     in_flight: tuple[int, ...],
     since_s: float | None,
-    left: float,
+    remaining_s: float,
     refused: bool,
 ) -> None:
-    """While those come back that a standing group refused."""
+    """New streams must not take the slots of retries after an outage."""
     since = None if since_s is None else since_s * SECOND
     found = admission.should_refuse(
-        route(), left * SECOND, ranks(*in_flight), since
+        route(), remaining_s * SECOND, ranks(*in_flight), since
     )
     assert found is refused
 
 
 @pytest.mark.parametrize(
-    ('in_flight', 'left', 'refused'),
+    ('in_flight', 'remaining_s', 'refused'),
     [
         ((4, 4, 4), 8.0, True),
         ((4, 3, 4), 8.0, False),
         ((9, 4, 5), 8.0, True),
-        # It asked before, and asks no third time.
+        # A retry is not refused: its caller does not retry again.
         ((9, 9, 9), 5.0, False),
-        # No rank is known: told by its own code.
+        # Without any rank the request fails with another code.
         ((), 8.0, False),
     ],
 )
-def test_a_first_stream_is_refused_where_no_place_is_free(
-    in_flight: tuple[int, ...], left: float, refused: bool
+def test_a_first_stream_is_refused_if_no_slot_is_free(
+    in_flight: tuple[int, ...], remaining_s: float, refused: bool
 ) -> None:
-    """One that came back is always sent on."""
-    found = admission.should_refuse(route(), left * SECOND, ranks(*in_flight))
+    """Streams must not queue at a full group; retries are always sent."""
+    found = admission.should_refuse(
+        route(), remaining_s * SECOND, ranks(*in_flight)
+    )
     assert found is refused
 
 
 @pytest.mark.parametrize('kind', [plan.Kind.SAFE, plan.Kind.UNSAFE])
-def test_calls_are_not_refused(kind: plan.Kind) -> None:
-    """They are short, and plain services queue them by themselves."""
+def test_requests_without_a_stream_are_not_refused(kind: plan.Kind) -> None:
+    """Only streams may be refused here."""
     assert not admission.should_refuse(route(kind), 8 * SECOND, ranks(9))
 
 
-def test_work_of_other_gateways_counts() -> None:
-    """As peers told of it."""
+def test_requests_of_other_gateways_use_slots() -> None:
+    """A group filled by other gateways must count as full."""
     found = ranks(1)
     assert not admission.is_full(found)
     found[0].peer_in_flight = 3
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -1,4 +1,4 @@
-"""Who waits for a group that stands still, and for how long."""
+"""Tests of waits for the recovery of an unavailable group."""
 
 import asyncio
 import dataclasses
@@ -30,13 +30,13 @@
 LONGEST = outage.MIN_FIRST_EVENT_TIMEOUT - outage.FIRST_EVENT_MARGIN
 
 
-def standing(
-    for_: datetime.timedelta,
+def ongoing_outage(
+    duration: datetime.timedelta,
 ) -> tuple[outage.Outage, datetime.datetime]:
-    """Return a group that has refused for a while, and the time."""
+    """Return an outage that started ``duration`` ago, and the time."""
     found = outage.Outage()
     assert found.record_refusal(clock.EPOCH)
-    return found, clock.EPOCH + for_
+    return found, clock.EPOCH + duration
 
 
 def wait(
@@ -47,37 +47,37 @@
     left: datetime.timedelta = TIMEOUT,
     route: plan.Route = ROUTE,
 ) -> datetime.timedelta:
-    """Return how long a request waits."""
+    """Return how long a request may wait."""
     return found.wait_limit(route, age=age, time_left=left, now=now)
 
 
-def test_nobody_waits_for_a_group_that_runs() -> None:
-    """Nor for one that is no group, or for an answer that is no stream."""
+def test_only_streams_wait_and_only_during_an_outage() -> None:
+    """Other requests must not be delayed."""
     assert not wait(outage.Outage(), clock.EPOCH)
-    found, now = standing(4 * SECOND)
+    found, now = ongoing_outage(4 * SECOND)
     plain = dataclasses.replace(ROUTE, kind=plan.Kind.SAFE)
     assert not wait(found, now, left=SECOND, route=plain)
 
 
-def test_a_returned_caller_waits_only_if_the_end_may_be_near() -> None:
-    """Otherwise it is told at once that its request has not run."""
+def test_a_retry_waits_only_if_the_recovery_may_be_near() -> None:
+    """Otherwise the retry must be refused immediately."""
     left = TIMEOUT / 2
-    early, now = standing(SECOND)
+    early, now = ongoing_outage(SECOND)
     assert not wait(early, now, left=left)
-    late, now = standing(outage.EXPECTED_OUTAGE_DURATION - SECOND)
+    late, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION - SECOND)
     assert wait(late, now, left=left) == LONGEST
-    overdue, now = standing(outage.EXPECTED_OUTAGE_DURATION * 2)
+    overdue, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION * 2)
     assert wait(overdue, now, left=left) == LONGEST
 
 
-def test_a_first_request_waits_no_longer_than_its_return_needs() -> None:
-    """Refused at once where its return meets the opening anyway."""
-    late, now = standing(2 * SECOND)
+def test_a_first_request_waits_only_as_long_as_its_retry_needs() -> None:
+    """It is refused immediately if the retry meets the recovery anyway."""
+    late, now = ongoing_outage(2 * SECOND)
     assert not wait(late, now)
-    fresh, now = standing(0 * SECOND)
+    fresh, now = ongoing_outage(0 * SECOND)
     found = wait(fresh, now)
     assert 0 * MS < found < LONGEST
-    # What returns after that wait may wait until the expected end.
+    # A retry after that wait can wait until the expected recovery.
     back = found + (TIMEOUT - found) / outage.RETRY_DELAY_DIVISOR
     reach = back + LONGEST
     assert (
@@ -90,17 +90,17 @@
     )
 
 
-def test_no_wait_outlasts_a_callers_patience() -> None:
-    """The time that the request has waited elsewhere counts."""
-    late, now = standing(outage.EXPECTED_OUTAGE_DURATION)
+def test_no_wait_exceeds_the_first_event_timeout() -> None:
+    """The time that the request has already waited must count."""
+    late, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION)
     left = TIMEOUT / 2
     assert wait(late, now, left=left - SECOND, age=SECOND) == LONGEST - SECOND
     assert not wait(late, now, left=left - LONGEST, age=LONGEST)
 
 
-def test_old_news_of_a_running_group_changes_nothing() -> None:
-    """A peer may have seen it run before it refused here."""
-    found, now = standing(SECOND)
+def test_a_recovery_before_the_outage_is_ignored() -> None:
+    """A late peer update must not end a newer outage."""
+    found, now = ongoing_outage(SECOND)
     assert not found.record_peer_recovery(2 * SECOND, now)
     assert found.is_ongoing
     assert found.record_peer_recovery(100 * MS, now)
@@ -112,11 +112,11 @@
     )
 
 
-def test_those_who_wait_go_on_once_it_runs() -> None:
-    """And at their limit otherwise."""
+def test_waiting_requests_continue_after_the_recovery() -> None:
+    """They must not wait beyond the recovery or their limit."""
 
     async def run() -> None:
-        found, now = standing(SECOND)
+        found, now = ongoing_outage(SECOND)
         assert not await found.wait_for_recovery(10 * MS)
         waiting = asyncio.ensure_future(found.wait_for_recovery(SECOND * 30))
         await asyncio.sleep(0)
--- a/tests/unit/test_gateway_outcomes.py
+++ b/tests/unit/test_gateway_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt's end: every case, without I/O."""
+"""Tests of the step after an attempt, over all possible cases."""
 
 import datetime
 import itertools
@@ -8,7 +8,7 @@
 from aspenfold._internal.gateway import outcome
 from aspenfold._internal.gateway import plan
 
-End = outcome.AttemptResult
+Result = outcome.AttemptResult
 Step = outcome.NextStep
 
 KINDS = [
@@ -22,7 +22,7 @@
 def history(
     kind: plan.Kind, resumable: bool, **more: object
 ) -> outcome.History:
-    """Return a history of one attempt on a route of this kind."""
+    """Return a request's history on a route of this kind."""
     route = plan.Route(
         name='r',
         host='h',
@@ -40,13 +40,13 @@
     return outcome.History(route=route, **more)  # type: ignore[arg-type]
 
 
-def cases() -> list[tuple[outcome.History, End, bool]]:
-    """Return every history that can be, with every end."""
-    result = []
-    for (kind, resumable), end, sent, head, budget in itertools.product(
-        KINDS, End, (0, 1, 2), (False, True), (False, True)
+def cases() -> list[tuple[outcome.History, Result, bool]]:
+    """Return all possible histories with every result and budget."""
+    all_cases = []
+    for (kind, resumable), result, sent, head, budget in itertools.product(
+        KINDS, Result, (0, 1, 2), (False, True), (False, True)
     ):
-        ran = end not in outcome.NOT_RUN or head
+        ran = result not in outcome.NOT_RUN or head
         if head and kind is not plan.Kind.STREAMING:
             continue
         if ran and sent == 0:
@@ -55,71 +55,73 @@
             kind,
             resumable,
             attempts_sent=sent,
-            unreachable=int(end is End.NOT_SENT),
+            unreachable=int(result is Result.NOT_SENT),
             may_have_run=ran,
             head_delivered=head,
         )
-        result.append((found, end, budget))
-    return result
+        all_cases.append((found, result, budget))
+    return all_cases
 
 
-def test_what_may_have_run_is_repeated_only_if_it_may_be() -> None:
-    """Never an unsafe request or a stream that cannot be resumed."""
-    for found, end, budget in cases():
-        step = outcome.next_step(found, end, has_budget=budget)
+def test_a_request_that_may_have_run_is_retried_only_if_repeatable() -> None:
+    """Unsafe requests must not run twice."""
+    for found, result, budget in cases():
+        step = outcome.next_step(found, result, has_budget=budget)
         if step is Step.RETRY and found.may_have_run:
             assert found.route.repeatable
 
 
-def test_only_what_has_not_run_is_refused() -> None:
-    """A refusal promises that the request has not run."""
-    for found, end, budget in cases():
-        step = outcome.next_step(found, end, has_budget=budget)
+def test_only_requests_that_have_not_run_are_refused() -> None:
+    """A refusal must not hide that a request may have run."""
+    for found, result, budget in cases():
+        step = outcome.next_step(found, result, has_budget=budget)
         if step is Step.REFUSE:
             assert not found.may_have_run
-            assert end in outcome.NOT_RUN
+            assert result in outcome.NOT_RUN
 
 
-def test_attempts_and_budget_bound_repetition() -> None:
-    """Whatever the end."""
-    for found, end, budget in cases():
-        step = outcome.next_step(found, end, has_budget=budget)
+def test_attempts_and_retry_budget_limit_retries() -> None:
+    """No result may cause unlimited retries."""
+    for found, result, budget in cases():
+        step = outcome.next_step(found, result, has_budget=budget)
         if step is Step.RETRY:
             assert budget
             assert found.attempts_sent < found.route.max_attempts
 
 
-def test_a_stream_that_began_is_resumed_or_looks_broken() -> None:
-    """It gets no second head."""
-    for found, end, budget in cases():
-        if not found.head_delivered or end is End.ANSWERED:
+def test_a_started_stream_is_resumed_or_aborted() -> None:
+    """The caller must not get a second response head."""
+    for found, result, budget in cases():
+        if not found.head_delivered or result is Result.ANSWERED:
             continue
-        step = outcome.next_step(found, end, has_budget=budget)
+        step = outcome.next_step(found, result, has_budget=budget)
         assert step in (Step.RETRY, Step.ABORT)
 
 
-def test_an_answer_is_always_delivered() -> None:
-    """Also one that came late or with a failure of the caller's."""
-    for found, end, budget in cases():
-        if end is End.ANSWERED:
+def test_a_complete_response_is_always_delivered() -> None:
+    """A complete response must not be dropped."""
+    for found, result, budget in cases():
+        if result is Result.ANSWERED:
             assert (
-                outcome.next_step(found, end, has_budget=budget)
+                outcome.next_step(found, result, has_budget=budget)
                 is Step.DELIVER
             )
 
 
-@pytest.mark.parametrize('end', [End.TIMED_OUT, End.GROUP_UNAVAILABLE])
-def test_some_ends_are_the_last(end: End) -> None:
-    """No time is left, or no endpoint would do better."""
+@pytest.mark.parametrize(
+    'result', [Result.TIMED_OUT, Result.GROUP_UNAVAILABLE]
+)
+def test_some_results_are_not_retried(result: Result) -> None:
+    """A retry could not succeed after them."""
     found = history(plan.Kind.SAFE, False, attempts_sent=1)
-    step = outcome.next_step(found, end, has_budget=True)
+    step = outcome.next_step(found, result, has_budget=True)
     assert step is not Step.RETRY
 
 
-def test_connections_are_not_tried_for_ever() -> None:
-    """A bound stands where attempts are not counted."""
+def test_failed_connections_are_limited() -> None:
+    """Failed connections do not count as attempts, so they need a limit."""
     found = history(
         plan.Kind.UNSAFE, False, unreachable=outcome.MAX_UNREACHABLE
     )
-    step = outcome.next_step(found, End.NOT_SENT, has_budget=True)
+    step = outcome.next_step(found, Result.NOT_SENT, has_budget=True)
     assert step is Step.REFUSE
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""The gateway's smaller parts, each by its promise."""
+"""Tests of the smaller parts of the gateway."""
 
 import ast
 import dataclasses
@@ -34,45 +34,41 @@
 SOURCES = pathlib.Path(__file__).resolve().parents[2] / 'src' / 'aspenfold'
 
 
-# -- event streams -------------------------------------------------------
-
-
 @hypothesis.given(st.data())
-def test_events_pass_whole_however_they_are_cut(data: st.DataObject) -> None:
-    """Every byte comes once, and only up to a whole event."""
+def test_events_are_forwarded_complete_for_any_split_of_the_bytes(
+    data: st.DataObject,
+) -> None:
+    """Bytes must not be lost, repeated or forwarded as a partial event."""
     count = data.draw(st.integers(1, 20))
     text = b''.join(
         f'id: {n}\ndata: {"x" * (n % 5)}\n\n'.encode() for n in range(count)
     )
-    cutter = event_stream.EventSplitter()
-    given = b''
+    splitter = event_stream.EventSplitter()
+    forwarded = b''
     rest = text
     while rest:
         size = data.draw(st.integers(1, len(rest)))
-        part = cutter.feed(rest[:size])
+        part = splitter.feed(rest[:size])
         assert not part or part.endswith(b'\n\n')
-        given += part
+        forwarded += part
         rest = rest[size:]
-    assert given == text
-    assert cutter.events == count
+    assert forwarded == text
+    assert splitter.events == count
 
 
 @hypothesis.given(st.integers(0, 9), st.integers(0, 9))
-def test_a_resumed_stream_repeats_nothing(cut: int, back: int) -> None:
-    """Wherever the next endpoint begins again."""
+def test_a_resumed_stream_repeats_no_event(cut: int, back: int) -> None:
+    """The next endpoint may start at an earlier event."""
     events = [f'id: {n}\ndata: {n}\n\n'.encode() for n in range(1, 11)]
-    cutter = event_stream.EventSplitter()
-    given = cutter.feed(b''.join(events[:cut]) + events[cut][:6])
-    cutter.discard_partial_event()
-    given += cutter.feed(b''.join(events[max(0, cut - back) :]))
-    assert given == b''.join(events)
-
-
-# -- routes and keys -----------------------------------------------------
+    splitter = event_stream.EventSplitter()
+    forwarded = splitter.feed(b''.join(events[:cut]) + events[cut][:6])
+    splitter.discard_partial_event()
+    forwarded += splitter.feed(b''.join(events[max(0, cut - back) :]))
+    assert forwarded == b''.join(events)
 
 
 def plan_of(routes: list[dict[str, object]]) -> bytes:
-    """Return a configuration as the platform's bytes."""
+    """Return a configuration in the platform's encoding."""
     base = {
         'kind': 'safe',
         'timeout_ms': 100,
@@ -88,8 +84,8 @@
     ).encode()
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
-    """Prefixes end at a slash; hosts ignore case."""
+def test_the_longest_matching_prefix_is_used() -> None:
+    """Prefixes end at a slash; the case of hosts is ignored."""
     routes: list[dict[str, object]] = [
         {'name': 'a', 'host': 'H.example', 'path_prefix': '/a/'},
         {'name': 'ab', 'host': 'h.example', 'path_prefix': '/a/b/'},
@@ -108,8 +104,8 @@
     assert name('x.example', '/a/') is None
 
 
-def test_keys_name_their_organisation() -> None:
-    """All of its keys, and nothing else."""
+def test_an_organisation_is_found_by_each_of_its_keys() -> None:
+    """Parts of keys or keys in another case must not match."""
     found = plan_index.PlanIndex(plan=config.decode(plan_of([])))
     for key in (b'k-1', b'k-2'):
         organisation = found.find_organisation(key)
@@ -119,9 +115,6 @@
         assert found.find_organisation(key) is None
 
 
-# -- the platform's records ----------------------------------------------
-
-
 @pytest.mark.parametrize(
     ('field', 'value'),
     [
@@ -132,8 +125,10 @@
         ('max_attempts', 'x'),
     ],
 )
-def test_a_bad_plan_names_its_field(field: str, value: object) -> None:
-    """The error tells the route and the field."""
+def test_the_error_of_an_invalid_plan_names_the_field(
+    field: str, value: object
+) -> None:
+    """The error must name the route and the field."""
     route = {'host': 'h', 'path_prefix': '/', field: value}
     with pytest.raises(ValueError, match=rf'routes\.0\.{field}'):
         config.decode(plan_of([route]))
@@ -142,16 +137,16 @@
 @pytest.mark.parametrize(
     'text', [b'', b'{}', b'[]', b'{"service": "s", "address": "x"}']
 )
-def test_a_bad_listing_is_an_error(text: bytes) -> None:
-    """It never becomes an endpoint."""
+def test_an_invalid_endpoint_record_is_an_error(text: bytes) -> None:
+    """It must not become an endpoint."""
     with pytest.raises(ValueError):
         endpoint_records.decode('w', text)
 
 
-def test_settings_name_the_field_that_is_wrong(
+def test_the_error_of_invalid_settings_names_the_field(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Missing fields and bad addresses."""
+    """Missing fields and malformed addresses are reported."""
     path = tmp_path / 'settings.json'
     base = {'node': 'n', 'ip': '1.2.3.4', 'zone': 'z'}
     path.write_text(json.dumps(base))
@@ -163,8 +158,8 @@
         platform_settings.load_gateway(str(path))
 
 
-def test_only_command_lines_import_the_platform() -> None:
-    """The product knows no name of the platform's."""
+def test_only_command_line_modules_import_the_platform() -> None:
+    """Other modules must not depend on the platform."""
     found = set()
     for path in SOURCES.rglob('*.py'):
         if path.parent.name == 'platform':
@@ -177,8 +172,8 @@
     assert found == allowed
 
 
-def test_wire_names_stand_in_the_platform_folder_only() -> None:
-    """Header names and paths of the platform are decoded there."""
+def test_wire_names_appear_only_in_the_platform_package() -> None:
+    """Header names and paths of the platform belong there."""
     names = ('x-aspenfold-', '/api/', 'fencing_token', 'path_prefix"')
     found = [
         path.relative_to(SOURCES).as_posix()
@@ -189,17 +184,14 @@
     assert found == []
 
 
-# -- retries -------------------------------------------------------------
-
-
 @hypothesis.given(
     st.lists(st.sampled_from(['request', 'retry']), max_size=400),
     st.integers(1, 40),
 )
-def test_retries_of_all_entries_stay_under_the_bound(
-    iter_drafts: list[str], entries: int
+def test_retries_of_all_entries_stay_within_the_shared_budget(
+    operations: list[str], entries: int
 ) -> None:
-    """In any span of their common history."""
+    """The limit holds after every step, for any number of entries."""
     slack = 90.0
     budgets = [
         shared_budget.SharedBudget(ratio=0.2, slack=slack)
@@ -207,7 +199,7 @@
     ]
     requests = 0
     retries = 0
-    for number, step in enumerate(iter_drafts):
+    for number, step in enumerate(operations):
         budget = budgets[number % entries]
         if step == 'request':
             budget.record_request()
@@ -217,11 +209,8 @@
         assert retries <= 0.2 * requests + slack
 
 
-# -- refusals ------------------------------------------------------------
-
-
-def test_callers_are_never_told_more_than_a_third_of_their_time() -> None:
-    """They would not follow it."""
+def test_retry_after_is_at_most_a_third_of_the_remaining_time() -> None:
+    """Callers ignore a longer delay."""
     for code in refusal.RETRY_AFTER:
         wait = refusal.retry_after(code, 3 * SECOND)
         assert wait is not None
@@ -229,7 +218,7 @@
 
 
 def test_only_503_promises_that_a_request_has_not_run() -> None:
-    """Codes that say "not run" answer 503, and no others do."""
+    """A request that may have run must not get a 503."""
     for code, status in refusal.HTTP_STATUS.items():
         if status == 503:
             assert code < 2000
@@ -237,71 +226,65 @@
             assert status in (502, 504)
 
 
-# -- leases --------------------------------------------------------------
-
-
-def play_contest(seed: int) -> None:
-    """Let three processes contest a lease over a lossy store."""
+def run_election(seed: int) -> None:
+    """Let three processes compete for a lease over a lossy store."""
     rng = random.Random(seed)
     now = clock.EPOCH
     log: list[election.LeaseRecord] = []
-    players = [
+    candidates = [
         election.LeaseElection(name=f'p{i}', host=f'h{i}', rng=rng)
         for i in range(3)
     ]
     tokens: dict[int, str] = {}
     for _ in range(2000):
         now += 0.05 * SECOND
-        player = rng.choice(players)
+        candidate = rng.choice(candidates)
         if rng.random() < 0.5:
-            player.on_read(log[-1] if log else None, len(log), now)
-        request = player.next_append(now)
+            candidate.on_read(log[-1] if log else None, len(log), now)
+        request = candidate.next_append(now)
         if request is None or rng.random() < 0.2:
             continue
         if request.expected_offset != len(log):
-            player.on_append_conflict(len(log))
+            candidate.on_append_conflict(len(log))
             continue
-        grant = election.LeaseRecord(
+        record = election.LeaseRecord(
             holder=request.holder,
             host=request.host,
             token=request.token,
             offset=len(log),
         )
-        log.append(grant)
-        # A token is one holder's, and later ones are higher.
-        assert tokens.setdefault(grant.token, grant.holder) == grant.holder
-        assert grant.token >= max(tokens)
+        log.append(record)
+        # Each token has one holder, and later tokens are higher.
+        assert tokens.setdefault(record.token, record.holder) == record.holder
+        assert record.token >= max(tokens)
         if rng.random() < 0.8:
-            player.on_read(grant, len(log), now)
+            candidate.on_read(record, len(log), now)
     assert len(log) > 5
 
 
-def test_tokens_grow_and_are_never_shared() -> None:
-    """Whatever answers of the store are lost."""
+def test_fencing_tokens_increase_and_have_one_holder() -> None:
+    """Also if responses of the store are lost."""
     for seed in range(30):
-        play_contest(seed)
+        run_election(seed)
 
 
-def test_a_restarted_process_takes_its_host_s_lease_at_once() -> None:
-    """Nobody else can; a lapse would only cost time."""
+def test_a_restarted_process_acquires_its_hosts_lease_immediately() -> None:
+    """It must not wait for the lease to expire."""
     rng = random.Random(1)
-    player = election.LeaseElection(name='h/2', host='h', rng=rng)
+    candidate = election.LeaseElection(name='h/2', host='h', rng=rng)
     other = election.LeaseElection(name='x/1', host='x', rng=rng)
-    grant = election.LeaseRecord(holder='h/1', host='h', token=4, offset=9)
-    for one in (player, other):
-        one.on_read(grant, 10, clock.EPOCH)
+    record = election.LeaseRecord(holder='h/1', host='h', token=4, offset=9)
+    for one in (candidate, other):
+        one.on_read(record, 10, clock.EPOCH)
     soon = clock.EPOCH + election.MAX_ACQUIRE_DELAY
     assert other.next_append(soon) is None
-    request = player.next_append(soon)
+    request = candidate.next_append(soon)
     assert request is not None
     assert request.token == 11
 
 
-# -- peers ---------------------------------------------------------------
-
-
-def listed(name: str) -> directory.Listing:
-    """Return an endpoint's listing."""
+def listing_of(name: str) -> directory.Listing:
+    """Return the list entry of an endpoint."""
     return directory.Listing(
         name=name,
         service='s',
@@ -314,7 +297,7 @@
 
 
 def gateways() -> tuple[peers.Peers, peers.Peers, directory.Directory]:
-    """Return two gateways that know each other, and the one's members."""
+    """Return two peers that know each other, and the second's directory."""
     roster = {
         name: settings.TcpAddress(host=f'10.0.0.{i}', port=7)
         for i, name in enumerate(('g-1', 'g-2'))
@@ -322,7 +305,7 @@
     made = []
     for name in ('g-1', 'g-2'):
         known = directory.Directory()
-        known.update_listing(listed('w'))
+        known.update_listing(listing_of('w'))
         one = peers.Peers(
             host=name,
             zone='z',
@@ -336,21 +319,21 @@
     return made[0][0], made[1][0], made[1][1]
 
 
-def told(one: peers.Peers, now: datetime.datetime) -> bytes:
-    """Return what a gateway tells its peer, which is due."""
+def due_update(one: peers.Peers, now: datetime.datetime) -> bytes:
+    """Return the update that is due from one gateway to its only peer."""
     due = one.next_update(now)
     assert due is not None
     assert len(due.addresses) == 1
     return due.data
 
 
-def test_other_zones_are_told_of_work_less_often() -> None:
-    """Load pattern: work that changes all the time, at many gateways.
+def test_load_updates_are_less_frequent_to_other_zones() -> None:
+    """Constant load changes must not cause heavy traffic between zones.
 
-    News that all must know goes everywhere at once.
+    Updates that all gateways need are sent to all zones immediately.
     """
     known = directory.Directory()
-    known.update_listing(listed('w'))
+    known.update_listing(listing_of('w'))
     one = peers.Peers(
         host='g-0',
         zone='z',
@@ -385,51 +368,51 @@
     assert len(due.addresses) == 30
 
 
-def test_peers_add_up_what_others_have_in_flight() -> None:
-    """The last word counts; a late or doubled one does not."""
+def test_requests_in_flight_at_peers_are_counted() -> None:
+    """Late and duplicate updates must be ignored."""
     one, two, known = gateways()
     sender = one._members.get('w')
-    here = known.get('w')
+    endpoint = known.get('w')
     assert sender is not None
-    assert here is not None
+    assert endpoint is not None
     now = clock.EPOCH
     sender.in_flight = 3
-    first = told(one, now)
+    first = due_update(one, now)
     sender.in_flight = 1
-    second = told(one, now + SECOND)
+    second = due_update(one, now + SECOND)
     two.receive(first, '10.0.0.0', now)
-    assert here.peer_in_flight == 3
+    assert endpoint.peer_in_flight == 3
     two.receive(second, '10.0.0.0', now)
     two.receive(first, '10.0.0.0', now)
-    assert here.peer_in_flight == 1
+    assert endpoint.peer_in_flight == 1
     two.expire_silent(now + 3 * SECOND)
-    assert here.peer_in_flight == 0
+    assert endpoint.peer_in_flight == 0
 
 
-def test_peers_of_other_versions_are_understood() -> None:
-    """While gateways are replaced one by one, some tell less or more."""
+def test_updates_of_other_versions_are_accepted() -> None:
+    """During a rolling upgrade, updates have fewer or more fields."""
     one, two, known = gateways()
-    here = known.get('w')
-    assert here is not None
+    endpoint = known.get('w')
+    assert endpoint is not None
     fields = ['g-1', 'i', 1, {'w': 2}, 5, 0, {}, 'z', False]
     for number, more in enumerate([[], [{'s': 40}], [{'s': 40}, 'new']], 1):
         fields[2] = number
         data = orjson.dumps([*fields, *more])
         update = two.receive(data, '10.0.0.0', clock.EPOCH)
         assert update is not None
-        assert here.peer_in_flight == 2
+        assert endpoint.peer_in_flight == 2
         assert len(update.recovery_ages) == (1 if more else 0)
     assert one.rejected == two.rejected == 0
 
 
 def endpoint_of(zone: str, in_flight: int) -> directory.Endpoint:
-    """Return an endpoint with four places."""
-    found = dataclasses.replace(listed(f'{zone}-{in_flight}'), zone=zone)
+    """Return an endpoint with a capacity of four."""
+    found = dataclasses.replace(listing_of(f'{zone}-{in_flight}'), zone=zone)
     return directory.Endpoint(listing=found, in_flight=in_flight)
 
 
-def test_requests_stay_in_their_zone_while_it_is_about_even() -> None:
-    """Load pattern: zones of unlike load, ranks that move in step."""
+def test_requests_stay_in_their_zone_unless_it_is_full() -> None:
+    """Ranks run in step, so an idle one in another zone gains little."""
     policy = zone_first.ZoneFirst(zone='z', rng=random.Random(1))
     far = [endpoint_of('y', 0), endpoint_of('y', 2)]
 
@@ -438,7 +421,7 @@
         return policy.choose([*far, *near], '', True).name
 
     assert chosen(2, 1) == 'z-1'
-    # One that looks idle elsewhere is no reason to go there.
+    # One idle endpoint in another zone is not enough.
     assert chosen(2, 2) == 'z-2'
     assert chosen(3, 3) == 'z-3'
     assert chosen(4, 4) == 'y-0'
@@ -447,38 +430,40 @@
     assert chosen(3, 3) == 'y-0'
 
 
-def test_a_slow_rank_is_told_to_all_gateways() -> None:
-    """It counts as fuller, until the leader says that it is not slow."""
+def test_the_slowdown_of_a_rank_is_sent_to_all_gateways() -> None:
+    """It raises the rank's pressure until the leader withdraws it."""
     one, two, known = gateways()
-    here = known.get('w')
-    assert here is not None
-    here.in_flight = 2
+    endpoint = known.get('w')
+    assert endpoint is not None
+    endpoint.in_flight = 2
     one.token = 7
-    for number, (paces, pressure) in enumerate([({'w': 3.0}, 1.5), ({}, 0.5)]):
-        one.slowdowns = paces
-        data = told(one, clock.EPOCH + number * SECOND)
+    for number, (slowdowns, pressure) in enumerate(
+        [({'w': 3.0}, 1.5), ({}, 0.5)]
+    ):
+        one.slowdowns = slowdowns
+        data = due_update(one, clock.EPOCH + number * SECOND)
         two.receive(data, '10.0.0.0', clock.EPOCH)
-        assert here.pressure == pressure
+        assert endpoint.pressure == pressure
 
 
 def test_a_slow_rank_gets_fewer_experts() -> None:
-    """Its load counts by its pace."""
+    """Its load is weighted by its slowdown."""
     shape = planner.MapShape(
         ranks=8, experts=24, slots_per_rank=4, max_new_experts=2
     )
     load = [1.0] * 24
     current = [[e for e in range(24) if e % 8 == r] for r in range(8)]
-    paces = [3.0] + [1.0] * 7
-    draft = list(descent.iter_drafts(shape, load, current, PRICE, paces))
+    slowdowns = [3.0] + [1.0] * 7
+    draft = list(descent.iter_drafts(shape, load, current, PRICE, slowdowns))
     assert draft[-1].skew() < 2.0
     assert planner.rank_loads(draft[-1].placement, load)[0] < 2.0
 
 
-def test_a_leader_that_is_heard_needs_no_asking_of_the_store() -> None:
-    """Until it has been silent for a while."""
+def test_a_leader_is_alive_until_its_updates_time_out() -> None:
+    """Gateways must not read the store while the leader sends updates."""
     one, two, _ = gateways()
     one.token = 7
-    data = told(one, clock.EPOCH)
+    data = due_update(one, clock.EPOCH)
     two.receive(data, '10.0.0.0', clock.EPOCH)
     last = clock.EPOCH + peers.LEADER_TIMEOUT
     assert two.is_leader_alive(last)
@@ -488,8 +473,8 @@
     assert not one.is_leader_lost(last + SECOND)
 
 
-def test_a_newcomer_that_hears_no_leader_takes_none_to_be_left() -> None:
-    """All may have ended at once; nobody would wait for the lapse."""
+def test_a_new_gateway_without_leader_updates_finds_no_leader() -> None:
+    """It must not wait for a lease to expire after all gateways ended."""
     one, two, _ = gateways()
     early = clock.EPOCH + peers.LEADER_DISCOVERY_DURATION - SECOND / 1000
     late = clock.EPOCH + peers.LEADER_DISCOVERY_DURATION
@@ -498,32 +483,32 @@
     assert not one.is_discovering_leader(late)
     assert one.is_leader_lost(late)
     two.token = 7
-    data = told(two, early)
+    data = due_update(two, early)
     one.receive(data, '10.0.0.1', early)
     assert not one.is_leader_lost(late)
 
 
-def test_a_leader_tells_often_that_it_leads() -> None:
-    """Three datagrams fit into the silence after which it is gone."""
+def test_a_leader_sends_updates_within_its_timeout() -> None:
+    """Two lost datagrams must not make it count as lost."""
     one, _, _ = gateways()
     one.token = 7
-    assert told(one, clock.EPOCH)
+    assert due_update(one, clock.EPOCH)
     later = clock.EPOCH + peers.LEADER_INTERVAL
-    assert told(one, later)
+    assert due_update(one, later)
     assert 3 * peers.LEADER_INTERVAL < peers.LEADER_TIMEOUT
 
 
-def test_the_lease_of_a_holder_that_fell_silent_is_free() -> None:
-    """Long before it lapses: a group that it holds stands still."""
+def test_the_lease_of_a_silent_holder_is_taken_over() -> None:
+    """Its group is unavailable until then, so expiry would take too long."""
     rng = random.Random(5)
-    player = election.LeaseElection(name='h/2', host='h', rng=rng)
-    grant = election.LeaseRecord(holder='x/1', host='x', token=4, offset=3)
-    player.on_read(grant, 4, clock.EPOCH)
+    candidate = election.LeaseElection(name='h/2', host='h', rng=rng)
+    record = election.LeaseRecord(holder='x/1', host='x', token=4, offset=3)
+    candidate.on_read(record, 4, clock.EPOCH)
     soon = clock.EPOCH + election.MAX_ACQUIRE_DELAY
-    assert player.next_append(soon) is None
-    request = player.next_append(soon, holder_silent=True)
+    assert candidate.next_append(soon) is None
+    request = candidate.next_append(soon, holder_silent=True)
     assert request is not None
-    assert request.token > grant.token
+    assert request.token > record.token
 
 
 @pytest.mark.parametrize(
@@ -537,28 +522,22 @@
         (b'["g-1","i",1,{"w":1},0,0,{}]', '10.9.9.9'),
     ],
 )
-def test_datagrams_that_are_none_are_left_out(
-    data: bytes, sender: str
-) -> None:
-    """Also those of a host that is not a gateway's."""
+def test_invalid_datagrams_are_rejected(data: bytes, sender: str) -> None:
+    """Also those from hosts that are not gateways."""
     _, two, known = gateways()
     two.receive(data, sender, clock.EPOCH)
-    here = known.get('w')
-    assert here is not None
-    assert here.peer_in_flight == 0
+    endpoint = known.get('w')
+    assert endpoint is not None
+    assert endpoint.peer_in_flight == 0
     assert two.rejected == 1
 
 
-# -- maps ----------------------------------------------------------------
-
 PRICE = fleet.MapPrice(skew=1.0, moved_weights=1.0, skew_bound=1.05)
 
 
 @hypothesis.given(st.integers(0, 10_000), st.integers(1, 3))
-def test_plans_keep_every_expert_and_every_bound(
-    seed: int, spare: int
-) -> None:
-    """Whatever the demand; and skew never grows."""
+def test_plans_keep_all_experts_and_all_limits(seed: int, spare: int) -> None:
+    """For any demand; the skew must not grow."""
     rng = random.Random(seed)
     shape = planner.MapShape(
         ranks=8, experts=24, slots_per_rank=4, max_new_experts=spare
@@ -574,8 +553,8 @@
     assert planner.skew(plan, load) <= planner.skew(current, load) + 1e-9
 
 
-def test_one_change_relieves_the_skew_of_map_0() -> None:
-    """At the shape of the users' groups, over several demands."""
+def test_one_change_reduces_the_skew_of_the_first_map() -> None:
+    """One change must suffice for several demands."""
     shape = planner.MapShape(
         ranks=16, experts=64, slots_per_rank=5, max_new_experts=2
     )
@@ -587,11 +566,8 @@
         assert planner.skew(plan, load) < 1.25
 
 
-# -- logs ----------------------------------------------------------------
-
-
-def test_lines_are_bounded_and_what_is_left_out_is_told() -> None:
-    """By kind: a flood of one does not silence another."""
+def test_log_lines_are_limited_and_omissions_reported() -> None:
+    """A flood of one message type must not suppress another."""
     written: list[bytes] = []
     now = [0.0]
 
@@ -609,8 +585,8 @@
     assert json.loads(written[-1])['left_out'] == {'flood': 700}
 
 
-def test_output_that_nobody_reads_never_blocks() -> None:
-    """Lines are kept up to a bound, then left out."""
+def test_unread_log_output_never_blocks() -> None:
+    """Pending lines are limited in size."""
 
     def write(data: bytes) -> int:
         raise BlockingIOError
