--- a/src/aspenfold/_internal/gateway/endpoint_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -160,8 +160,8 @@
                 error=str(exc)[:200],
             )
             return
-        known = self._directory.get(listing.name)
-        if known is None or known.listing != listing:
+        endpoint = self._directory.get(listing.name)
+        if endpoint is None or endpoint.listing != listing:
             self._changed.append(record)
         if self._directory.update_listing(listing):
             events.emit(
--- a/src/aspenfold/_internal/gateway/leadership.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -22,10 +22,10 @@
 
 LEASE_KEY = 'maps'
 
-FOLLOWER_READ_TIMEOUT = datetime.timedelta(seconds=4)
+LEASE_READ_TIMEOUT = datetime.timedelta(seconds=4)
 """Longest waiting read of the lease topic by processes that do not lead."""
 
-STARTUP_READ_TIMEOUT = datetime.timedelta(milliseconds=500)
+STARTUP_LEASE_READ_TIMEOUT = datetime.timedelta(milliseconds=500)
 """The same while it is not known yet whether there is a leader."""
 
 RETRY_DELAY = datetime.timedelta(milliseconds=700)
@@ -163,9 +163,7 @@
             if self._must_reread:
                 await self._read_newest()
             leader_lost = self._peers.is_leader_lost(now)
-            request = self._election.next_append(
-                now, holder_silent=leader_lost
-            )
+            request = self._election.next_append(now, holder_lost=leader_lost)
             if request is not None:
                 await self._append(request)
             elif self._election.token:
@@ -207,13 +205,13 @@
         now = self._core.clock.now()
         leader_lost = self._peers.is_leader_lost(now)
         max_timeout = (
-            STARTUP_READ_TIMEOUT
+            STARTUP_LEASE_READ_TIMEOUT
             if self._peers.is_discovering_leader(now)
-            else FOLLOWER_READ_TIMEOUT
+            else LEASE_READ_TIMEOUT
         )
         timeout = min(
             max_timeout,
-            self._election.next_append_in(now, holder_silent=leader_lost),
+            self._election.next_append_in(now, holder_lost=leader_lost),
         )
         try:
             page = await self._store.read(
--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -52,7 +52,7 @@
         self._demand = demand_estimator.DemandEstimator(
             sets=shape.sets, experts=shape.experts
         )
-        # The skew at which the last planned stage did not pay, if it did not.
+        # The skew when the last stage did not pay, None if it did.
         self._best_skew: float | None = None
         self._planned_at: datetime.datetime | None = None
         self.sample_fast = False
@@ -63,7 +63,7 @@
         self._demand.add_counts(rank, counts)
 
     def update_estimate(self) -> None:
-        """Update the estimate of demand from the counts added since then."""
+        """Update the estimate of demand from the counts added."""
         self._demand.update_estimate(self._clock.now())
 
     async def plan(
--- a/src/aspenfold/_internal/gateway/reader_selection.py
+++ b/src/aspenfold/_internal/gateway/reader_selection.py
@@ -61,7 +61,7 @@
 class _Peer:
     zone: str
     is_reader: bool
-    heard_at: datetime.datetime
+    updated_at: datetime.datetime
     backoff_until: datetime.datetime | None = None
 
 
@@ -85,15 +85,15 @@
         self, host: str, zone: str, is_reader: bool, now: datetime.datetime
     ) -> None:
         """Record from a peer update whether ``host`` is a reader."""
-        known = self._peers.get(host)
-        if known is None:
+        peer = self._peers.get(host)
+        if peer is None:
             self._peers[host] = _Peer(
-                zone=zone, is_reader=is_reader, heard_at=now
+                zone=zone, is_reader=is_reader, updated_at=now
             )
             return
-        known.zone = zone
-        known.is_reader = is_reader
-        known.heard_at = now
+        peer.zone = zone
+        peer.is_reader = is_reader
+        peer.updated_at = now
 
     def on_relayed(self, host: str, now: datetime.datetime) -> None:
         """Record that relayed records, or a keepalive, came from ``host``."""
@@ -102,16 +102,16 @@
 
     def on_reader_stopped(self, host: str) -> None:
         """Stop following ``host`` until its updates say that it reads."""
-        known = self._peers.get(host)
-        if known is not None:
-            known.is_reader = False
+        peer = self._peers.get(host)
+        if peer is not None:
+            peer.is_reader = False
         self.stop_following(host)
 
     def on_relay_failed(self, host: str, now: datetime.datetime) -> None:
         """Stop following ``host`` for a while after its relay failed."""
-        known = self._peers.get(host)
-        if known is not None:
-            known.backoff_until = now + PEER_BACKOFF_DURATION
+        peer = self._peers.get(host)
+        if peer is not None:
+            peer.backoff_until = now + PEER_BACKOFF_DURATION
         self.stop_following(host)
 
     def stop_following(self, host: str) -> None:
@@ -163,7 +163,7 @@
     def max_retry_delay(self, now: datetime.datetime) -> datetime.timedelta:
         """Return the maximum delay before a failed call is repeated."""
         for host, peer in self._peers.items():
-            is_alive = now - peer.heard_at <= PEER_TIMEOUT
+            is_alive = now - peer.updated_at <= PEER_TIMEOUT
             if is_alive and peer.zone == self._zone and host < self._host:
                 return OTHER_HOST_MAX_RETRY_DELAY
         return FIRST_HOST_MAX_RETRY_DELAY
@@ -191,7 +191,7 @@
     def _may_follow(
         self, host: str, peer: _Peer, now: datetime.datetime
     ) -> bool:
-        if not peer.is_reader or now - peer.heard_at > PEER_TIMEOUT:
+        if not peer.is_reader or now - peer.updated_at > PEER_TIMEOUT:
             return False
         until = peer.backoff_until
         if until is not None and now < until:
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -28,7 +28,7 @@
 """How often both sides check whether the relay should go on."""
 
 MAX_LINE_BYTES = 8_388_608
-"""Twice the size of the largest plan, 4 MiB."""
+"""Twice the maximum size of a plan, 4 MiB."""
 
 MAX_QUEUED_LINES = 200
 """A follower with more lines queued is disconnected; it gets a snapshot when
@@ -248,7 +248,7 @@
             async with asyncio.timeout(timeout_s):
                 data = await connection.read_data()
             if data is None:
-                self._log_end(host, 'it stopped reading the store')
+                self._log_end(host, 'stopped reading the store')
                 self._selection.on_reader_stopped(host)
                 return
             incomplete = self._apply_lines(host, incomplete + data)
--- a/src/aspenfold/_internal/leases/election.py
+++ b/src/aspenfold/_internal/leases/election.py
@@ -82,9 +82,9 @@
         ``record`` is the newest record found, None if there was none.
         """
         self._topic_end = max(self._topic_end, end)
-        known = self._record
+        last = self._record
         if record is not None and (
-            known is None or record.offset > known.offset
+            last is None or record.offset > last.offset
         ):
             self._record = record
             self._record_seen_at = now
@@ -101,15 +101,15 @@
         self._record = None
 
     def next_append(
-        self, now: datetime.datetime, *, holder_silent: bool = False
+        self, now: datetime.datetime, *, holder_lost: bool = False
     ) -> AppendRequest | None:
         """Return the record to append now, None if there is none.
 
-        With ``holder_silent``, the holder is taken to be gone before its
+        With ``holder_lost``, the holder is taken to be gone before its
         lease expires.  If it is alive, the new token fences its orders.
         """
         if self.next_append_in(
-            now, holder_silent=holder_silent
+            now, holder_lost=holder_lost
         ) > datetime.timedelta(0):
             return None
         if self.token:
@@ -118,7 +118,7 @@
         return self._request(self._name, self._topic_end + 1)
 
     def next_append_in(
-        self, now: datetime.datetime, *, holder_silent: bool = False
+        self, now: datetime.datetime, *, holder_lost: bool = False
     ) -> datetime.timedelta:
         """Return the time until :meth:`next_append` has a record.
 
@@ -127,14 +127,12 @@
         seen = self._record_seen_at
         if seen is None:
             return RENEW_INTERVAL
-        wait = (
-            RENEW_INTERVAL if self.token else self._free_after(holder_silent)
-        )
+        wait = RENEW_INTERVAL if self.token else self._free_after(holder_lost)
         return seen + wait - now
 
-    def _free_after(self, holder_silent: bool) -> datetime.timedelta:
+    def _free_after(self, holder_lost: bool) -> datetime.timedelta:
         """Return how long after its last record to acquire the lease."""
-        free = holder_silent or self._record is None or not self._record.holder
+        free = holder_lost or self._record is None or not self._record.holder
         if self._record is not None and self._record.host == self._host:
             # Held by this host's previous process, which has ended.
             free = True
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -521,7 +521,7 @@
     player.on_read(grant, 4, clock.EPOCH)
     soon = clock.EPOCH + election.MAX_ACQUIRE_DELAY
     assert player.next_append(soon) is None
-    request = player.next_append(soon, holder_silent=True)
+    request = player.next_append(soon, holder_lost=True)
     assert request is not None
     assert request.token > grant.token
 
--- a/tests/unit/test_group_monitor.py
+++ b/tests/unit/test_group_monitor.py
@@ -124,11 +124,11 @@
     core, client, monitor = monitored_groups(*('g' * 6))
     del client.reports['e-5']
     run_polls(monitor, 3)
-    known = [endpoint_named(core, f'e-{n}').group for n in range(6)]
-    assert known == ['g'] * 5 + ['']
-    asked = {name: client.called.count(name) for name in client.called}
-    assert all(asked[f'e-{n}'] == 1 for n in range(5))
-    assert asked['e-5'] >= 2
+    groups = [endpoint_named(core, f'e-{n}').group for n in range(6)]
+    assert groups == ['g'] * 5 + ['']
+    call_counts = {name: client.called.count(name) for name in client.called}
+    assert all(call_counts[f'e-{n}'] == 1 for n in range(5))
+    assert call_counts['e-5'] >= 2
 
 
 def test_fresh_report_ends_outage() -> None:
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -232,11 +232,11 @@
         engine = FrozenAgent(AGENT, ENGINE)
         client, _ = client_and_clock(engine)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         answer = await client.order(endpoint('1'), ORDER)
         assert answer is rank_protocol.Answer.NONE
-        limit = rank_client.AGENT_ORDER_TIMEOUT.total_seconds()
-        assert limit <= loop.time() - began < FROZEN_S
+        timeout = rank_client.AGENT_ORDER_TIMEOUT.total_seconds()
+        assert timeout <= loop.time() - started < FROZEN_S
         answer = await client.order(endpoint('1'), ORDER)
         assert answer is rank_protocol.Answer.ACCEPTED
 
@@ -261,19 +261,19 @@
     zones = {0: 'a', 1: 'b', 2: 'a', 3: 'b'}
     group = {n: endpoint(str(n), zone) for n, zone in zones.items()}
 
-    def chosen(zone: str, free: bool, turn: int) -> list[int]:
+    def choose(zone: str, agent_only: bool, poll: int) -> list[int]:
         return sampling.choose_ranks(
-            group, zone=zone, agent_only=free, poll=turn
+            group, zone=zone, agent_only=agent_only, poll=poll
         )
 
-    assert chosen('b', True, 0) == chosen('b', True, 1) == [1, 3]
-    assert chosen('c', True, 0) == [0, 1, 2, 3]
-    paid = [chosen('b', False, turn) for turn in range(4)]
+    assert choose('b', True, 0) == choose('b', True, 1) == [1, 3]
+    assert choose('c', True, 0) == [0, 1, 2, 3]
+    paid = [choose('b', False, poll) for poll in range(4)]
     assert paid == [[0], [1], [0], [1]]
-    whole = sampling.choose_ranks(
+    all_zones = sampling.choose_ranks(
         group, zone='b', agent_only=True, poll=0, all_zones=True
     )
-    assert whole == [0, 1, 2, 3]
+    assert all_zones == [0, 1, 2, 3]
 
 
 def test_group_of_another_zone_is_read_less_often() -> None:
