--- a/src/aspenfold/_internal/expertmaps/__init__.py
+++ b/src/aspenfold/_internal/expertmaps/__init__.py
@@ -1,16 +1,22 @@
-"""One expert map in each step of a lock-step group; no I/O here.
+"""Expert maps: planning them, and the protocols that switch them.
 
-The agent of a group's first rank is its leader.  It grants steps in
-runs: "steps s to e use map v, under ballot b".  A rank's engine
-executes no step without a grant.
+In :mod:`.leader_machine`, :mod:`.rank_machine` and :mod:`.messages`, the
+agent of a group's first rank is its leader.  It grants the ranks runs of
+steps: "steps s to e use map v, under ballot b".  An engine executes no
+step that it was not granted.
 
-Why no step is ever executed with two maps: a step number is granted
-under one ballot only, and one ballot's leader grants it once.  A new
-leader takes a higher ballot, has *every* rank promise to heed nothing
-lower and say up to which step its engine was ever granted, and begins
-beyond that by more than what earlier leaders may have granted to a rank
-that is lost since.  Engines forget the grants that they have not
-finished; a collective with a lost rank has to be aborted in any case.
-So it does not matter whether an engine checks fencing numbers, nor
-when a paused process sends an old order: its numbers are used up.
+No step is executed with two maps, because each step number is granted at
+most once.  A ballot has one leader, which grants each step once.  A new
+leader takes a higher ballot, and *every* rank must promise to ignore lower
+ones and report the last step that its engine was ever granted.  The new
+leader starts after the highest of these steps, by a margin that covers
+steps granted only to a rank that has been lost since.  Engines forget
+unfinished grants; a collective with a lost rank has to be aborted in any
+case.  This holds even if an engine does not check fencing tokens, or if a
+paused process sends an old order: the step numbers in it are used up.
+
+:mod:`.map_switch` and :mod:`.rank_protocol` are for engines that keep maps
+themselves and switch at a pass that an order names.
+
+Nothing here does I/O.
 """
--- a/src/aspenfold/_internal/expertmaps/demand_estimator.py
+++ b/src/aspenfold/_internal/expertmaps/demand_estimator.py
@@ -1,10 +1,9 @@
-"""Estimates which experts are in demand from ranks' counts.
+"""Estimates the demand for each expert from the ranks' counts.
 
-Demand moves on in two ways.  It drifts with what is asked, for which the
-newest counts weigh most; and it shifts at once, when other experts are
-liked from one pass to the next.  A shift shows in the first prompts read
-after it, whose choices have little in common with those before: all that
-was counted before is then forgotten.
+Demand changes in two ways.  It drifts, so older counts decay.  And it
+shifts, when other experts become popular from one pass to the next: the
+first prompts after a shift choose experts in quite different proportions,
+and the earlier counts are then discarded.
 """
 
 import datetime
@@ -12,96 +11,105 @@
 from aspenfold._internal.expertmaps import rank_protocol
 
 COUNT_HALF_LIFE = datetime.timedelta(milliseconds=500)
-"""Age at which counts weigh half while demand only drifts."""
+"""Time in which the weight of counts halves."""
 
-MAX_SAMPLE_AGE = datetime.timedelta(seconds=1)
-"""Longest time between two samples that counts as age.  A group that
-stood still goes on with much the same demand, so that a new map can be
-made as soon as it runs; of earlier counts a quarter is left."""
+MAX_DECAY_TIME = datetime.timedelta(seconds=1)
+"""Longest time between two updates for which counts decay.  Demand after an
+outage is much the same as before it."""
 
 MIN_CHOICES_PER_EXPERT = 400
-"""Choices for each expert, on average, below which nothing is estimated:
-about one prompt of a thousand tokens."""
+"""Average number of choices per expert that an estimate needs; about one
+prompt of a thousand tokens."""
 
 MIN_INITIAL_CHOICES_PER_EXPERT = 20_000
-"""Choices for each expert that a rank must have counted since its start,
-some forty requests, to be taken as a first estimate of demand."""
+"""Average number of choices per expert, counted by a rank since its start,
+that is enough for a first estimate."""
 
 MIN_OVERLAP_WITHOUT_SHIFT = 0.72
-"""Demand has shifted where new counts and those before have less than this
-in common, as the mean of the sets.  A tenth of a second's counts of one
-demand have 0.86 in common with the next, and in 95 of 100 cases over 0.8;
-across a shift it is 0.35 to 0.7."""
+"""Overlap of new and earlier counts, as the mean over the sets, below which
+demand has shifted."""
 
 UNIFORM_FRACTION = 0.1
-"""Part of the demand that is spread evenly: an expert that was not seen
-may be chosen next."""
+"""Fraction of the demand that is spread evenly over all experts, since an
+expert without counts may still be chosen."""
 
 
 class DemandEstimator:
-    """Demand by set and expert, the newest counts weighing most."""
+    """Estimates demand by set and expert with exponentially decaying counts.
+
+    ``shift_count`` is the number of shifts that were detected.
+    """
 
     def __init__(self, *, sets: int, experts: int) -> None:
         self._experts = experts
-        self._last: dict[int, rank_protocol.Counts] = {}
+        self._last_sample: dict[int, rank_protocol.Counts] = {}
         self._weights = [0.0] * (sets * experts)
-        # What was sampled and is not weighed yet.
-        self._newest = [0] * (sets * experts)
-        self._at: datetime.datetime | None = None
-        self._since: datetime.datetime | None = None
+        # Counts that are not part of the estimate yet.
+        self._new_counts = [0] * (sets * experts)
+        self._updated_at: datetime.datetime | None = None
+        self._shifted_at: datetime.datetime | None = None
         self.shift_count = 0
 
     def add_counts(self, rank: int, counts: rank_protocol.Counts) -> None:
-        """Take a rank's counts; later ones count from the last sample.
+        """Add what a rank has counted since its last sample.
 
-        The first of a new epoch only sets a mark.
+        The first sample of an epoch only sets the base for the next one.
         """
         if len(counts.counts) != len(self._weights):
             return
-        last = self._last.get(rank)
-        self._last[rank] = counts
+        last = self._last_sample.get(rank)
+        self._last_sample[rank] = counts
         if last is None:
-            self._take_first(counts)
+            self._add_initial_counts(counts)
             return
         if last.epoch != counts.epoch:
             return
-        self._newest = [
+        self._new_counts = [
             known + max(0, new - old)
             for known, new, old in zip(
-                self._newest, counts.counts, last.counts, strict=True
+                self._new_counts, counts.counts, last.counts, strict=True
             )
         ]
 
     def update_estimate(self, now: datetime.datetime) -> None:
-        """Weigh what was sampled, once it is enough to tell a shift."""
-        if sum(self._newest) < MIN_CHOICES_PER_EXPERT * len(self._newest):
+        """Update the estimate once there are enough new counts.
+
+        Discards the earlier counts if demand has shifted.
+        """
+        if sum(self._new_counts) < MIN_CHOICES_PER_EXPERT * len(
+            self._new_counts
+        ):
             return
         if self._overlap() < MIN_OVERLAP_WITHOUT_SHIFT:
             self.shift_count += 1
             self._weights = [0.0] * len(self._weights)
-            self._since = now
+            self._shifted_at = now
         self._decay(now)
         self._weights = [
             weight + more
-            for weight, more in zip(self._weights, self._newest, strict=True)
+            for weight, more in zip(
+                self._weights, self._new_counts, strict=True
+            )
         ]
-        self._newest = [0] * len(self._newest)
+        self._new_counts = [0] * len(self._new_counts)
 
     def time_since_shift(self, now: datetime.datetime) -> datetime.timedelta:
-        """Return how long ago demand was seen to shift, or zero."""
+        """Return the time since demand shifted, zero if it never did."""
         return (
-            datetime.timedelta(0) if self._since is None else now - self._since
+            datetime.timedelta(0)
+            if self._shifted_at is None
+            else now - self._shifted_at
         )
 
     def _overlap(self) -> float:
-        """Return what new counts and those before have in common, 0 to 1."""
+        """Return the overlap of new and earlier counts, from 0 to 1."""
         if not any(self._weights):
             return 1.0
         shared = 0.0
         count = 0
         for old, new in zip(
             self._by_set(self._weights),
-            self._by_set(self._newest),
+            self._by_set(self._new_counts),
             strict=True,
         ):
             count += 1
@@ -118,10 +126,11 @@
             for first in range(0, len(flat), self._experts)
         ]
 
-    def _take_first(self, counts: rank_protocol.Counts) -> None:
-        """Let a rank's long count stand for twice the least needed.
+    def _add_initial_counts(self, counts: rank_protocol.Counts) -> None:
+        """Take a rank's counts since its start as a first estimate.
 
-        That plans a first map, and is soon outweighed by newer counts.
+        They are scaled to twice the minimum, which is enough to plan a
+        first map and is soon outweighed by newer counts.
         """
         total = sum(counts.counts)
         if total < MIN_INITIAL_CHOICES_PER_EXPERT * len(self._weights):
@@ -130,26 +139,29 @@
         for i, count in enumerate(counts.counts):
             self._weights[i] += count * scale
 
-    def loads(self) -> list[list[float]] | None:
-        """Return each set's demand by expert, None if too little is known.
+    def loads_by_set(self) -> list[list[float]] | None:
+        """Return each set's demand by expert, None without enough counts.
 
-        Each set's demand adds up to 1.
+        The demand of each set adds up to 1.
         """
         if sum(self._weights) < MIN_CHOICES_PER_EXPERT * len(self._weights):
             return None
-        even = UNIFORM_FRACTION / self._experts
+        uniform_share = UNIFORM_FRACTION / self._experts
         result = []
-        for part in self._by_set(self._weights):
-            total = sum(part) or 1.0
+        for set_weights in self._by_set(self._weights):
+            total = sum(set_weights) or 1.0
             result.append(
-                [even + (1 - UNIFORM_FRACTION) * w / total for w in part]
+                [
+                    uniform_share + (1 - UNIFORM_FRACTION) * w / total
+                    for w in set_weights
+                ]
             )
         return result
 
     def _decay(self, now: datetime.datetime) -> None:
-        if self._at is not None and now > self._at:
+        if self._updated_at is not None and now > self._updated_at:
             factor = 0.5 ** (
-                min(now - self._at, MAX_SAMPLE_AGE) / COUNT_HALF_LIFE
+                min(now - self._updated_at, MAX_DECAY_TIME) / COUNT_HALF_LIFE
             )
             self._weights = [w * factor for w in self._weights]
-        self._at = now
+        self._updated_at = now
--- a/src/aspenfold/_internal/expertmaps/descent.py
+++ b/src/aspenfold/_internal/expertmaps/descent.py
@@ -1,8 +1,8 @@
-"""Relieves the hottest ranks by the change that evens all loads most.
+"""Map planner that moves experts off the hottest ranks, move by move.
 
-Where :mod:`greedy` looks at the two ranks of a move, each move here is
-judged by its effect on every rank that holds one of its experts, and
-ranks may have free places and a bound on new experts.
+:mod:`.greedy` rates a move by its effect on the two ranks involved.  This
+planner rates it by its effect on every rank that holds one of the experts.
+It also supports free slots and a limit of new experts per rank.
 """
 
 from collections import abc
@@ -14,31 +14,33 @@
 from aspenfold._internal.models import fleet
 
 NORM_EXPONENT = 8
-"""The loads' norm that moves lower: near the maximum, which sets the
-time of a pass, but with a slope where several ranks are equally hot."""
+"""Exponent of the norm of the rank loads that moves must reduce.  The norm
+approximates the maximum, which determines the time of a pass, but also
+falls when only one of several equally hot ranks is relieved."""
 
 MAX_HOT_RANKS = 3
-"""Hottest ranks that are tried in turn until one can be relieved."""
+"""Hottest ranks that are tried in turn as the source of a move."""
 
 MAX_HOT_EXPERTS = 3
-"""Heaviest experts of a hot rank that are tried."""
+"""Heaviest experts of a hot rank that are tried in a move."""
 
 MAX_COLD_RANKS = 6
 """Least loaded ranks that are tried as the target of a move."""
 
 MIN_SKEW_GAIN = 0.004
-"""Skew that one new expert on a rank must save where prices are 1."""
+"""Skew that each new expert on a rank must save if both prices are 1."""
 
 MAX_MOVED_FRACTION = 0.6
-"""Stop after moving this share of all places in one plan."""
+"""Limit of the moves in one plan, as a fraction of all slots."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Move:
-    """``expert`` comes to ``cold``, in the place of ``victim`` if set.
+    """One change of a placement: rank ``target`` gets ``expert``.
 
-    If ``leaves``, the hot rank gives its copy up, and takes the victim
-    in its place.
+    ``displaced`` is the expert that ``target`` gives up for it, None if it
+    has a free slot.  If ``moves_out``, rank ``source`` gives up its replica
+    of ``expert`` and gets ``displaced`` instead, if set.
     """
 
     source: int
@@ -49,11 +51,12 @@
 
 
 class PlacementDraft:
-    """A set's placement under change, with its loads kept up to date.
+    """The placement of one set of layers while moves are applied to it.
 
-    ``paces`` says how much longer each rank takes for the same load; a
-    rank's load counts that much more.  ``copies`` bounds the experts that
-    are new to each rank; drafts of several sets may share it.
+    ``slowdowns`` has a factor for each rank by which its load is
+    multiplied.  ``copy_budget`` is how many new experts each rank may
+    still get; drafts of several sets may share the list.  ``totals`` are
+    the loads of the ranks.
     """
 
     def __init__(
@@ -68,15 +71,15 @@
         self._shape = shape
         self._copy_budget = copy_budget
         self._load = load
-        self._before = [frozenset(experts) for experts in placement]
+        self._initial = [frozenset(experts) for experts in placement]
         self.ranks = [set(experts) for experts in placement]
-        self._holders: list[set[int]] = [set() for _ in load]
+        self._ranks_by_expert: list[set[int]] = [set() for _ in load]
         for rank, experts in enumerate(self.ranks):
             for expert in experts:
-                self._holders[expert].add(rank)
+                self._ranks_by_expert[expert].add(rank)
         self._slowdowns = list(slowdowns) or [1.0] * shape.ranks
         self.totals = [
-            sum(self._share(e) for e in experts) * slowdown
+            sum(self._replica_load(e) for e in experts) * slowdown
             for experts, slowdown in zip(
                 self.ranks, self._slowdowns, strict=True
             )
@@ -85,15 +88,15 @@
 
     @property
     def placement(self) -> planner.Placement:
-        """The placement as it stands."""
+        """The current placement."""
         return [sorted(experts) for experts in self.ranks]
 
     def skew(self) -> float:
-        """Return the largest load, by pace, over the mean without it."""
+        """Return the largest load divided by the mean without slowdowns."""
         return max(self.totals) / self._mean
 
     def apply_best_move(self, min_gain: float) -> bool:
-        """Make the best move; False if none gains ``min_gain`` skew."""
+        """Apply the best move; return False if none gains ``min_gain``."""
         found = self.best_move(min_gain)
         if found is None:
             return False
@@ -101,7 +104,12 @@
         return True
 
     def best_move(self, min_gain: float) -> tuple[float, Move] | None:
-        """Return the best move and the skew that each copy gains."""
+        """Return the gain per new expert of the best move, and that move.
+
+        The move is for the hottest rank that has one with a gain of at
+        least ``min_gain``; None if none has.  The gain is the reduction of
+        the norm of the loads, relative to their mean.
+        """
         order = sorted(range(len(self.totals)), key=self.totals.__getitem__)
         norm = self._norm(
             sum((t / self._mean) ** NORM_EXPONENT for t in self.totals)
@@ -110,7 +118,7 @@
             best: tuple[float, Move] | None = None
             for move in self._moves(source, order[:MAX_COLD_RANKS]):
                 gain = self._gain(move, norm) / max(
-                    1, self._moved_weights(move)
+                    1, self._new_expert_count(move)
                 )
                 if best is None or gain > best[0]:
                     best = gain, move
@@ -119,26 +127,24 @@
         return None
 
     def is_allowed(self, move: Move) -> bool:
-        """Return whether a move that was found before still fits."""
-        if not self._may_take(move.target, move.expert):
+        """Return whether a move that was found earlier is still allowed."""
+        if not self._can_add(move.target, move.expert):
             return False
         if not move.moves_out or move.displaced is None:
             return True
-        return self._may_take(move.source, move.displaced)
-
-    # -- moves -----------------------------------------------------------
+        return self._can_add(move.source, move.displaced)
 
     def _moves(
         self, source: int, cold_ranks: abc.Sequence[int]
     ) -> abc.Iterator[Move]:
-        heavy = heapq.nlargest(
-            MAX_HOT_EXPERTS, self.ranks[source], key=self._share
+        heaviest = heapq.nlargest(
+            MAX_HOT_EXPERTS, self.ranks[source], key=self._replica_load
         )
-        for expert in heavy:
+        for expert in heaviest:
             for target in cold_ranks:
                 if target == source or expert in self.ranks[target]:
                     continue
-                if not self._may_take(target, expert):
+                if not self._can_add(target, expert):
                     continue
                 yield from self._moves_to(source, target, expert)
 
@@ -155,7 +161,7 @@
                     moves_out=moves_out,
                 )
         for displaced in self.ranks[target]:
-            if len(self._holders[displaced]) > 1:
+            if len(self._ranks_by_expert[displaced]) > 1:
                 yield Move(
                     source=source,
                     target=target,
@@ -163,7 +169,7 @@
                     displaced=displaced,
                     moves_out=False,
                 )
-            if displaced in self.ranks[source] or not self._may_take(
+            if displaced in self.ranks[source] or not self._can_add(
                 source, displaced
             ):
                 continue
@@ -175,39 +181,37 @@
                 moves_out=True,
             )
 
-    def _may_take(self, rank: int, expert: int) -> bool:
+    def _can_add(self, rank: int, expert: int) -> bool:
         max_new_experts = self._shape.max_new_experts
-        if expert in self._before[rank]:
+        if expert in self._initial[rank]:
             return True
         if self._copy_budget is not None and self._copy_budget[rank] <= 0:
             return False
         if max_new_experts is None:
             return True
-        return len(self.ranks[rank] - self._before[rank]) < max_new_experts
+        return len(self.ranks[rank] - self._initial[rank]) < max_new_experts
 
-    def _moved_weights(self, move: Move) -> int:
-        """Return how many experts the move brings to ranks."""
-        count = int(move.expert not in self._before[move.target])
+    def _new_expert_count(self, move: Move) -> int:
+        """Return how many new experts ranks get by the move."""
+        count = int(move.expert not in self._initial[move.target])
         if move.moves_out and move.displaced is not None:
-            count += int(move.displaced not in self._before[move.source])
+            count += int(move.displaced not in self._initial[move.source])
         return count
 
-    # -- effects ---------------------------------------------------------
-
-    def _share(self, expert: int) -> float:
-        return self._load[expert] / max(1, len(self._holders[expert]))
+    def _replica_load(self, expert: int) -> float:
+        return self._load[expert] / max(1, len(self._ranks_by_expert[expert]))
 
-    def _changes(self, move: Move) -> dict[int, float]:
-        """Return what the move adds to the load of each rank."""
+    def _load_changes(self, move: Move) -> dict[int, float]:
+        """Return the change of each affected rank's load by the move."""
         change: dict[int, float] = {}
-        self._respread(
+        self._add_replica_change(
             change,
             move.expert,
             add=move.target,
             drop=move.source if move.moves_out else None,
         )
         if move.displaced is not None:
-            self._respread(
+            self._add_replica_change(
                 change,
                 move.displaced,
                 add=move.source if move.moves_out else None,
@@ -217,7 +221,7 @@
             change[rank] *= self._slowdowns[rank]
         return change
 
-    def _respread(
+    def _add_replica_change(
         self,
         change: dict[int, float],
         expert: int,
@@ -225,8 +229,11 @@
         add: int | None,
         drop: int | None,
     ) -> None:
-        """Add the effect of one expert's coming and going to ``change``."""
-        holders = self._holders[expert]
+        """Add the effect of moving one replica to ``change``.
+
+        Rank ``add`` gets a replica and rank ``drop`` loses one.
+        """
+        holders = self._ranks_by_expert[expert]
         before = self._load[expert] / len(holders)
         count = len(holders) + (add is not None) - (drop is not None)
         after = self._load[expert] / count
@@ -239,9 +246,9 @@
             change[add] = change.get(add, 0.0) + after
 
     def _gain(self, move: Move, norm: float) -> float:
-        """Return how far the move lowers the norm of the loads."""
+        """Return by how much the move reduces the norm of the loads."""
         powers = norm**NORM_EXPONENT
-        for rank, added in self._changes(move).items():
+        for rank, added in self._load_changes(move).items():
             total = self.totals[rank]
             powers -= (total / self._mean) ** NORM_EXPONENT
             powers += ((total + added) / self._mean) ** NORM_EXPONENT
@@ -251,30 +258,30 @@
         return max(0.0, powers) ** (1.0 / NORM_EXPONENT)
 
     def apply(self, move: Move) -> None:
-        """Change the placement by one move."""
-        for rank, added in self._changes(move).items():
+        """Apply a move to the placement."""
+        for rank, added in self._load_changes(move).items():
             self.totals[rank] += added
-        self._place(move.expert, move.target)
+        self._add(move.expert, move.target)
         if move.moves_out:
             self._remove(move.expert, move.source)
         if move.displaced is None:
             return
         self._remove(move.displaced, move.target)
         if move.moves_out:
-            self._place(move.displaced, move.source)
+            self._add(move.displaced, move.source)
 
-    def _place(self, expert: int, rank: int) -> None:
+    def _add(self, expert: int, rank: int) -> None:
         self.ranks[rank].add(expert)
-        self._holders[expert].add(rank)
-        self._spend(rank, expert, 1)
+        self._ranks_by_expert[expert].add(rank)
+        self._use_budget(rank, expert, 1)
 
     def _remove(self, expert: int, rank: int) -> None:
         self.ranks[rank].discard(expert)
-        self._holders[expert].discard(rank)
-        self._spend(rank, expert, -1)
+        self._ranks_by_expert[expert].discard(rank)
+        self._use_budget(rank, expert, -1)
 
-    def _spend(self, rank: int, expert: int, count: int) -> None:
-        if self._copy_budget is not None and expert not in self._before[rank]:
+    def _use_budget(self, rank: int, expert: int, count: int) -> None:
+        if self._copy_budget is not None and expert not in self._initial[rank]:
             self._copy_budget[rank] -= count
 
 
@@ -285,7 +292,10 @@
     price: fleet.MapPrice,
     slowdowns: abc.Sequence[float] = (),
 ) -> abc.Iterator[PlacementDraft]:
-    """Give the draft after each move, so that others can run between."""
+    """Yield the draft before the first move and after each move.
+
+    The caller can do other work between moves.
+    """
     draft = PlacementDraft(
         shape=shape, placement=current, load=load, slowdowns=slowdowns
     )
@@ -302,7 +312,7 @@
 
 @registry.register(planner.KIND, 'descent')
 class Descent:
-    """Lowers a norm of all loads, move by move."""
+    """Plans by applying the moves that reduce the norm of the loads most."""
 
     def plan(
         self,
@@ -311,7 +321,7 @@
         current: planner.Placement,
         price: fleet.MapPrice,
     ) -> planner.Placement:
-        """Return ``current`` with the moves that pay at this price."""
+        """Return ``current`` with the moves that are worth their price."""
         if not current:
             return planner.pack(shape, load)
         placement = current
--- a/src/aspenfold/_internal/expertmaps/greedy.py
+++ b/src/aspenfold/_internal/expertmaps/greedy.py
@@ -1,4 +1,4 @@
-"""Moves the fewest experts that bring skew under its bound."""
+"""Map planner that moves few experts until skew is within its bound."""
 
 from collections import abc
 import dataclasses
@@ -8,40 +8,44 @@
 from aspenfold._internal.models import fleet
 
 MAX_MOVED_FRACTION = 0.5
-"""Stop after moving this share of all slots in one plan."""
+"""Limit of the moves in one plan, as a fraction of all slots."""
 
 MAX_COLD_RANKS = 24
 """Least loaded ranks that are tried as the target of a move."""
 
 MAX_HOT_EXPERTS = 12
-"""Heaviest replicas of the hottest rank that are tried."""
+"""Heaviest replicas of the hottest rank that are tried in a move."""
 
 SKEW_GAIN_PER_MOVE = 0.002
-"""Skew that one moved weight must save where both prices are 1."""
+"""Skew that each moved weight must save if both prices are 1."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Move:
-    """One change of a placement and the skew after it.
+    """One change of a placement: rank ``target`` gets ``expert``.
 
-    ``expert`` comes to ``cold``; ``victim`` leaves it, and goes to the
-    hottest rank in exchange if ``swap``.
+    ``target`` gives up ``displaced`` for it.  If ``swap``, the hottest rank
+    gives up its replica of ``expert`` and gets ``displaced`` instead.
+    ``peak`` is the larger load of the two ranks after the move.
     """
 
-    cold: int
+    target: int
     expert: int
-    victim: int
+    displaced: int
     swap: bool
     peak: float
 
     @property
     def weights(self) -> int:
-        """How many weights it moves."""
+        """Number of weights that the move loads."""
         return 2 if self.swap else 1
 
 
 class _Draft:
-    """A placement under change, with its loads kept up to date."""
+    """A placement while moves are applied to it, and the loads of its ranks.
+
+    ``counts`` are the numbers of replicas by expert.
+    """
 
     def __init__(
         self, placement: planner.Placement, load: abc.Sequence[float]
@@ -54,9 +58,9 @@
                 self.counts[expert] += 1
         self.totals = [0.0] * len(self.ranks)
         for rank in range(len(self.ranks)):
-            self._refresh(rank)
+            self._update_total(rank)
 
-    def share(self, expert: int) -> float:
+    def replica_load(self, expert: int) -> float:
         """Return the load of one replica of ``expert``."""
         return self.load[expert] / self.counts[expert]
 
@@ -70,33 +74,33 @@
         return order[:count]
 
     def skew(self) -> float:
-        """Return the largest load over the mean."""
+        """Return the largest load divided by the mean."""
         mean = sum(self.totals) / len(self.totals)
         return max(self.totals) / mean if mean else 1.0
 
     def apply(self, move: _Move, hot: int) -> None:
-        """Carry out a move."""
-        self.ranks[move.cold].discard(move.victim)
-        self.ranks[move.cold].add(move.expert)
+        """Apply a move that relieves rank ``hot``."""
+        self.ranks[move.target].discard(move.displaced)
+        self.ranks[move.target].add(move.expert)
         if move.swap:
             self.ranks[hot].discard(move.expert)
-            self.ranks[hot].add(move.victim)
+            self.ranks[hot].add(move.displaced)
         else:
             self.counts[move.expert] += 1
-            self.counts[move.victim] -= 1
+            self.counts[move.displaced] -= 1
         for rank, experts in enumerate(self.ranks):
-            if move.expert in experts or move.victim in experts:
-                self._refresh(rank)
-        self._refresh(move.cold)
-        self._refresh(hot)
+            if move.expert in experts or move.displaced in experts:
+                self._update_total(rank)
+        self._update_total(move.target)
+        self._update_total(hot)
 
-    def _refresh(self, rank: int) -> None:
-        self.totals[rank] = sum(self.share(e) for e in self.ranks[rank])
+    def _update_total(self, rank: int) -> None:
+        self.totals[rank] = sum(self.replica_load(e) for e in self.ranks[rank])
 
 
 @registry.register(planner.KIND, 'greedy')
 class GreedyMoves:
-    """Relieves the hottest rank, one move at a time."""
+    """Plans by relieving the hottest rank, one move at a time."""
 
     def plan(
         self,
@@ -105,7 +109,7 @@
         current: planner.Placement,
         price: fleet.MapPrice,
     ) -> planner.Placement:
-        """Return ``current`` with as few moves as the price allows."""
+        """Return ``current`` with the moves that are worth their price."""
         if not current:
             return planner.pack(shape, load)
         draft = _Draft(current, load)
@@ -119,72 +123,73 @@
                 break
             draft.apply(move, hot)
             moves += move.weights
-            if not _worth(before - draft.skew(), move, draft, price):
+            if not _is_worth_its_price(
+                before - draft.skew(), move, draft, price
+            ):
                 break
         return [sorted(experts) for experts in draft.ranks]
 
 
-def _worth(
+def _is_worth_its_price(
     saved: float, move: _Move, draft: _Draft, price: fleet.MapPrice
 ) -> bool:
-    """Return whether moves of this kind still pay for themselves.
+    """Return whether more moves of this kind are worth their price.
 
-    Hot ranks are relieved one by one, so a move that leaves the skew as
-    it is may be needed before the next one shows; it counts as paying
-    while the skew is far above the bound.
+    Several ranks may be equally hot, so a move may be needed that does not
+    reduce the skew yet.  Far above the bound, every move is worth it.
     """
-    far = draft.skew() > 1 + (price.skew_bound - 1) * 2
+    far_above_bound = draft.skew() > 1 + (price.skew_bound - 1) * 2
     cost = move.weights * price.moved_weights * SKEW_GAIN_PER_MOVE
-    return far or saved * price.skew * len(draft.totals) >= cost
+    return far_above_bound or saved * price.skew * len(draft.totals) >= cost
 
 
 def _best_move(draft: _Draft, hot: int) -> _Move | None:
-    heavy = sorted(draft.ranks[hot], key=draft.share, reverse=True)
+    heaviest = sorted(draft.ranks[hot], key=draft.replica_load, reverse=True)
     best: _Move | None = None
-    for cold in draft.coldest(MAX_COLD_RANKS):
-        if cold == hot:
+    for target in draft.coldest(MAX_COLD_RANKS):
+        if target == hot:
             continue
-        for expert in heavy[:MAX_HOT_EXPERTS]:
-            if expert in draft.ranks[cold]:
+        for expert in heaviest[:MAX_HOT_EXPERTS]:
+            if expert in draft.ranks[target]:
                 continue
-            for move in _moves(draft, hot, cold, expert):
-                if best is None or _better(move, best):
+            for move in _moves(draft, hot, target, expert):
+                if best is None or _is_better(move, best):
                     best = move
     if best is None or best.peak >= draft.totals[hot]:
         return None
     return best
 
 
-def _better(one: _Move, two: _Move) -> bool:
-    return (one.peak, one.weights) < (two.peak, two.weights)
+def _is_better(first: _Move, second: _Move) -> bool:
+    return (first.peak, first.weights) < (second.peak, second.weights)
 
 
 def _moves(
-    draft: _Draft, hot: int, cold: int, expert: int
+    draft: _Draft, hot: int, target: int, expert: int
 ) -> abc.Iterator[_Move]:
-    """Give the ways to bring ``expert`` to ``cold``, with their peaks."""
+    """Yield the moves that bring ``expert`` to rank ``target``."""
     count = draft.counts[expert]
     after = draft.load[expert] / (count + 1)
-    for victim in draft.ranks[cold]:
-        share = draft.share(victim)
-        if draft.counts[victim] > 1:
-            hot_load = draft.totals[hot] - draft.share(expert) + after
-            cold_load = draft.totals[cold] - share + after
+    for displaced in draft.ranks[target]:
+        replica_load = draft.replica_load(displaced)
+        if draft.counts[displaced] > 1:
+            hot_load = draft.totals[hot] - draft.replica_load(expert) + after
+            cold_load = draft.totals[target] - replica_load + after
             yield _Move(
-                cold=cold,
+                target=target,
                 expert=expert,
-                victim=victim,
+                displaced=displaced,
                 swap=False,
                 peak=max(hot_load, cold_load),
             )
-        if victim not in draft.ranks[hot]:
-            moved = draft.share(expert) - share
+        if displaced not in draft.ranks[hot]:
+            moved = draft.replica_load(expert) - replica_load
             yield _Move(
-                cold=cold,
+                target=target,
                 expert=expert,
-                victim=victim,
+                displaced=displaced,
                 swap=True,
                 peak=max(
-                    draft.totals[hot] - moved, draft.totals[cold] + moved
+                    draft.totals[hot] - moved, draft.totals[target] + moved
                 ),
             )
--- a/src/aspenfold/_internal/expertmaps/leader_machine.py
+++ b/src/aspenfold/_internal/expertmaps/leader_machine.py
@@ -1,4 +1,7 @@
-"""The part that the agent of a group's first rank plays besides."""
+"""The leader's side of the step-granting protocol.
+
+It runs in the agent of a group's first rank.
+"""
 
 import dataclasses
 import datetime
@@ -10,12 +13,13 @@
 """Steps in one grant."""
 
 MIN_GRANTED_STEPS_AHEAD = 150
-"""Granted steps left at which the next run is granted."""
+"""The next run is granted when fewer granted steps than this remain."""
 
 RESEND_INTERVAL = datetime.timedelta(milliseconds=200)
+"""Time between two attempts to send what is unanswered."""
 
 HEARTBEAT_INTERVAL = datetime.timedelta(seconds=1)
-"""How often a rank with nothing to do is asked whether it lives."""
+"""Time between messages that check idle ranks."""
 
 Kind = messages.Kind
 Placement = tuple[tuple[int, ...], ...]
@@ -23,9 +27,9 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Member:
-    """A rank as this leader knows it under its ballot.
+    """What this leader knows of a rank that has promised its ballot.
 
-    ``runs``: grants that its engine took under this ballot.
+    ``runs`` are the unfinished runs that the rank's engine has confirmed.
     """
 
     incarnation: str
@@ -36,7 +40,10 @@
 
 
 class LeaderMachine:
-    """Recruits every rank, prepares maps on all, then grants steps."""
+    """Recruits all ranks, prepares maps on them and grants them steps.
+
+    The methods return the messages to send.
+    """
 
     def __init__(self, *, group: str, ranks: int, rng: random.Random) -> None:
         self.group = group
@@ -54,7 +61,7 @@
     def set_plan(
         self, version: int, placement: Placement
     ) -> list[messages.Action]:
-        """Take a plan of the log; versions only grow."""
+        """Take a map plan; one with an old version is ignored."""
         if version <= self._newest_version or len(placement) != self.ranks:
             return []
         self._newest_version = version
@@ -62,7 +69,7 @@
         return self._prepare_missing() if self._all_promised else []
 
     def tick(self, now: datetime.datetime) -> list[messages.Action]:
-        """Start, or send again what is unanswered."""
+        """Recruit ranks, repeat unanswered messages and check idle ranks."""
         if not self._newest_version:
             return []
         if self._resend_at is not None and now < self._resend_at:
@@ -78,14 +85,14 @@
             ]
         result = self._prepare_missing() + self._resend_grants()
         result.extend(self._grant_next())
-        if not result and self._heartbeat_due(now):
+        if not result and self._is_heartbeat_due(now):
             result = [
                 self._send(Kind.GRANT, rank) for rank in range(self.ranks)
             ]
         return result
 
     def receive(self, message: messages.Message) -> list[messages.Action]:
-        """Take a rank's answer."""
+        """Handle a rank's answer."""
         if message.kind is Kind.REJECTED:
             return self._on_rejected(message)
         if message.ballot != self.ballot:
@@ -101,7 +108,7 @@
         member.runs = {run for run in member.runs if run.last > member.step}
         return self._grant_next() if self._all_promised else []
 
-    def _heartbeat_due(self, now: datetime.datetime) -> bool:
+    def _is_heartbeat_due(self, now: datetime.datetime) -> bool:
         if self._heartbeat_at is not None and now < self._heartbeat_at:
             return False
         self._heartbeat_at = now + HEARTBEAT_INTERVAL
@@ -148,11 +155,12 @@
         return self._prepare_missing() + self._grant_next()
 
     def _skip_earlier_grants(self) -> None:
-        """Choose the first step so that none is granted a second time.
+        """Choose the first step so that no step is granted twice.
 
-        Each earlier leader may have granted one run that only a rank
-        lost since was told of: it grants the next only when all ranks
-        have confirmed the last.  Ballot counters grow with each leader.
+        A leader grants a run only after all ranks have confirmed the one
+        before, so each earlier leader may have granted one run that only a
+        lost rank knew of.  The ballot's counter is at least the number of
+        leaders so far.
         """
         last = max(
             member.last_granted_step for member in self._members.values()
@@ -161,25 +169,25 @@
         self.last_granted_step = last + STEPS_PER_GRANT * counter
 
     def _grant_next(self) -> list[messages.Action]:
-        """Grant the next run once all ranks confirmed the ones before.
+        """Grant the next run if all ranks have confirmed the earlier ones.
 
-        Nothing is sent again here: answers come by the hundred, and only
-        the tick repeats what is missing.
+        Only :meth:`tick` repeats unconfirmed grants, since this is called
+        for each answer.
         """
         if self._resend_grants():
             return []
         slowest = min(member.step for member in self._members.values())
         self._runs = [run for run in self._runs if run.last > slowest]
-        left = sum(
+        remaining = sum(
             run.last - max(run.first - 1, slowest) for run in self._runs
         )
-        usable = self._prepared_by_all()
-        if not usable or left >= MIN_GRANTED_STEPS_AHEAD:
+        version = self._prepared_by_all()
+        if not version or remaining >= MIN_GRANTED_STEPS_AHEAD:
             return []
         run = messages.StepRun(
             first=self.last_granted_step + 1,
             last=self.last_granted_step + STEPS_PER_GRANT,
-            version=usable,
+            version=version,
         )
         self.last_granted_step = run.last
         self._runs.append(run)
@@ -207,7 +215,7 @@
         ]
 
     def _resend_grants(self) -> list[messages.Action]:
-        """Grant again what a rank has neither finished nor confirmed."""
+        """Return grants of the runs that a rank neither finished nor took."""
         result: list[messages.Action] = []
         for rank, member in self._members.items():
             missing = tuple(
--- a/src/aspenfold/_internal/expertmaps/map_switch.py
+++ b/src/aspenfold/_internal/expertmaps/map_switch.py
@@ -1,26 +1,24 @@
-"""Switches all ranks of a group to a new map in the same pass.
-
-Orders may be lost, or carried out seconds late.  What keeps a pass from
-beginning with two maps:
-
-* A round's orders carry a token higher than any before it.  A rank that
-  has accepted one refuses all orders with a lower token, whenever they
-  arrive.  A map's version is its round's token and is never used again,
-  and each round arms for one pass only.
-* All ranks accept the round's PREPARE before anything else is done.  A
-  rank refuses it while it is armed.  So no rank is armed from then on
-  but by this round.
-* The pass is held, always on rank 0, before any rank is armed, and
-  released only after every rank has accepted to be armed for it.
-* A round that does not come to its end is undone in a held group: first
-  all ranks accept an order with a higher token, so nothing of the round
-  can still happen; then what is armed is disarmed; then the pass is
-  released.
-* A rank that crashes gives the group a new epoch in which nothing is
-  prepared, armed or held.  All orders name their epoch.
-
-The machine does no I/O: it takes answers, reports and the time, and
-returns orders to send and reports to ask for.
+"""State machine that switches all ranks of a group to a new expert map.
+
+All ranks must use the new map from the same pass on, although orders may
+be lost or carried out seconds late.  One change of map is a round:
+
+* Each round has a fencing token that is higher than all earlier ones.  A
+  rank that has accepted an order refuses all orders with a lower token.
+  The token is also the version of the round's map, so versions are never
+  reused.  Each round arms the ranks for one pass only.
+* Every rank must accept PREPARE before the round continues.  An armed
+  rank refuses PREPARE, so afterwards only this round can arm a rank.
+* The pass is held on rank 0 before any rank is armed.  It is released
+  only after every rank has accepted ARM for it.
+* A round that fails is rolled back while the pass is held: every rank
+  accepts an order with a higher token, so that no order of the failed
+  round can take effect; armed ranks are disarmed; the pass is released.
+* If a rank crashes, the group starts a new epoch in which nothing is
+  prepared, armed or held.  Each order names the epoch that it is for.
+
+The state machine does no I/O.  Its methods take answers, reports and the
+current time, and return the orders to send and the reports to request.
 """
 
 from collections import abc
@@ -32,82 +30,80 @@
 from aspenfold._internal.expertmaps import rank_protocol
 
 HOLD_RANK = 0
-"""The rank on which passes are held.  With one for all leaders, a hold
-that was left behind shows on this rank, and keeps others from theirs."""
+"""Rank on which passes are held.  All leaders use the same one, so a hold
+left by an earlier leader is visible here and prevents a second hold."""
 
 RESEND_INTERVAL = datetime.timedelta(milliseconds=100)
-"""Wait before an order without an answer is sent again.  Answers take a
-few milliseconds; an order that is carried out late stays harmless."""
+"""Time after which an unanswered order is sent again."""
 
 REPORT_INTERVAL = datetime.timedelta(milliseconds=250)
-"""Pace of reports while a round waits for copies or for its pass."""
+"""Time between requests for reports while a round waits for them."""
 
 FRESH_REPORT_INTERVAL = datetime.timedelta(milliseconds=40)
-"""The same while reports are fresh, which are free: a round then waits
-20 ms for the news on average, where it waited 300."""
+"""As REPORT_INTERVAL, while reports are fresh: these are cheap to get."""
 
 MAX_FRESH_AGE = datetime.timedelta(milliseconds=60)
-"""A report is fresh up to this age: under the time of a pass."""
+"""Age up to which a report counts as fresh; less than one pass takes."""
 
 COPY_TIMEOUT = datetime.timedelta(seconds=4)
-"""A round whose copies take longer is undone: they take 0.2 s."""
+"""Time after which a round is rolled back if copies are incomplete."""
 
 ARM_TIMEOUT = datetime.timedelta(seconds=2)
-"""A round that cannot arm all ranks for so long is undone."""
+"""Time after which a round is rolled back if a rank is not armed."""
 
 HOLD_LEAD_PASSES = 2
-"""Passes that a hold must be ahead of the last one reported, beside
-those that begin while reports lag and orders travel."""
+"""Extra passes between the last reported pass and the one to hold, where
+reports are not fresh."""
 
 MAX_HOLD_ATTEMPTS = 4
-"""Passes that are tried one after the other; if none can be held, the
-hold of another round stands in the way."""
+"""Passes that a round tries to hold before it is rolled back.  If none can
+be held, another round probably holds a pass."""
 
 HOLD_LEAD_TIME = datetime.timedelta(milliseconds=300)
-"""Report lag, and the time that arming all ranks takes."""
+"""Age of a report that is not fresh, plus the time to arm all ranks."""
 
 FRESH_HOLD_LEAD_TIME = datetime.timedelta(milliseconds=30)
-"""The same with a fresh report: an order's way to the rank."""
+"""As HOLD_LEAD_TIME, with a fresh report."""
 
 
 class State(enum.Enum):
-    """Where the machine stands."""
+    """State of a :class:`MapSwitch`."""
 
     FENCE = 'freeze'
-    """All ranks are made to refuse the orders of earlier rounds."""
+    """Roll back: wait until all ranks refuse orders of earlier rounds."""
 
     AWAIT_REPORTS = 'look'
-    """Waits for reports that are later than the freeze."""
+    """Roll back: wait for reports from after FENCE."""
 
     DISARM = 'disarm'
-    """The held group's armed ranks are disarmed."""
+    """Roll back: wait until the armed ranks are disarmed."""
 
     RELEASE = 'release'
-    """The held pass is released, nothing being armed."""
+    """Roll back: wait until the held pass is released, no rank armed."""
 
     READY = 'ready'
-    """A new round may begin."""
+    """No round is in progress; a new one may start."""
 
     PREPARE = 'prepare'
-    """Ranks take the new map."""
+    """Wait until all ranks have accepted the new map."""
 
     AWAIT_COPIES = 'copy'
-    """Waits until all ranks have copied what is new to them."""
+    """Wait until all ranks have copied the experts that are new to them."""
 
     HOLD = 'hold'
-    """The pass of the switch is held."""
+    """Wait until the pass that will use the new map is held."""
 
     ARM = 'arm'
-    """Ranks are armed for that pass."""
+    """Wait until all ranks are armed for that pass."""
 
     RELEASE_ARMED = 'let-go'
-    """All are armed: the pass is released."""
+    """All ranks are armed: wait until the pass is released."""
 
     AWAIT_PASS = 'pass'
-    """Waits for the pass to begin."""
+    """Wait until the pass has begun with the new map."""
 
     LOST = 'lost'
-    """The epoch has ended, or another leader's token is higher."""
+    """Final: the epoch has ended or another leader's token is higher."""
 
 
 _ROUND_STATES = frozenset(
@@ -119,7 +115,7 @@
         State.RELEASE_ARMED,
     }
 )
-"""States of a round that can still be undone."""
+"""States in which a round is in progress and can be rolled back."""
 
 
 _HOLDING_STATES = frozenset(
@@ -133,13 +129,13 @@
         State.RELEASE_ARMED,
     }
 )
-"""States in which a pass may be held: the group would stand still if
-its leader ended here."""
+"""States in which a pass may be held.  If the leader stopped in one of
+them, the group would be unavailable."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestReport:
-    """Ask a rank for its report."""
+    """Request a report from a rank."""
 
     rank: int
 
@@ -148,21 +144,28 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Sent:
+class _SentOrder:
     order: rank_protocol.Order
     at: datetime.datetime
 
 
 class MapSwitch:
-    """The machine for one epoch of one group under one leader."""
+    """Switches the maps of one group in one epoch under one leader.
+
+    ``version`` is the map in use, None until known; ``step`` the last pass
+    that was reported as begun, and ``pass_rate`` the passes per second.
+    ``rollbacks`` counts the rounds that were rolled back.  ``fenced`` is
+    set once a rank has refused an order for its token.
+    """
 
     def __init__(
         self, *, group: str, epoch: int, size: int, first_token: int
     ) -> None:
-        """Begin as ready, whatever earlier leaders left behind.
+        """Start in the READY state.
 
-        A round meets it before it does harm: PREPARE is refused by
-        armed ranks, HOLD where a pass is held.
+        Armed ranks or a held pass of an earlier leader do no harm: armed
+        ranks refuse PREPARE, and rank 0 refuses a second HOLD.
+        ``first_token`` is below the token of the first round.
         """
         self.group = group
         self.epoch = epoch
@@ -172,41 +175,39 @@
         self.rollbacks = 0
         self.version: int | None = None
         self.step = 0
-        self.rate = 0.0
+        self.pass_rate = 0.0
         self._token = first_token
         self._new_map: rank_protocol.Map = ()
         self._pass = 0
-        self._hold_tries = 0
-        self._waiting: dict[int, _Sent] = {}
-        self._fresh: dict[int, rank_protocol.Report] = {}
-        self._asked_at: datetime.datetime | None = None
-        self._settled_at: datetime.datetime | None = None
-        self._since: datetime.datetime | None = None
-        self._stepped: tuple[int, datetime.datetime] | None = None
-        # Whether the holder's last report was fresh.
-        self._is_fresh = False
-
-    # -- what the leader asks --------------------------------------------
+        self._hold_attempts = 0
+        self._unanswered: dict[int, _SentOrder] = {}
+        self._reports: dict[int, rank_protocol.Report] = {}
+        self._requested_at: datetime.datetime | None = None
+        self._answered_at: datetime.datetime | None = None
+        self._entered_at: datetime.datetime | None = None
+        self._last_step_at: tuple[int, datetime.datetime] | None = None
+        # Whether the last report of HOLD_RANK was fresh.
+        self._hold_rank_is_fresh = False
 
     @property
     def is_ready(self) -> bool:
-        """Whether a new round may begin."""
+        """Whether a new round may start."""
         return self.state is State.READY
 
     @property
     def may_hold_pass(self) -> bool:
-        """Whether the group may stand until this machine goes on."""
+        """Whether a pass may be held until this round continues."""
         return self.state in _HOLDING_STATES
 
     @property
     def token(self) -> int:
-        """The token of the current round."""
+        """Fencing token of the current or last round."""
         return self._token
 
     def start_round(
         self, new_map: rank_protocol.Map, now: datetime.datetime
     ) -> list[Action]:
-        """Begin a round that brings ``new_map`` to the group."""
+        """Start a round that switches the group to ``new_map``."""
         assert self.is_ready
         self._token += 1
         self._new_map = new_map
@@ -216,27 +217,25 @@
         )
 
     def roll_back(self, now: datetime.datetime) -> list[Action]:
-        """Undo whatever stands half done, also of earlier leaders."""
+        """Roll back an unfinished round, of this or an earlier leader."""
         if self.state in _ROUND_STATES:
             self.rollbacks += 1
         self._token += 1
         self._enter(State.FENCE, now)
-        # No round has this version: the order changes nothing but the
-        # rank's token.
+        # No map has this version, so the order only raises the rank's
+        # token.
         return self._send_all(
             rank_protocol.Op.DISARM, now, version=self._token
         )
 
-    # -- events ----------------------------------------------------------
-
     def on_answer(
         self,
         order: rank_protocol.Order,
         answer: rank_protocol.Answer,
         now: datetime.datetime,
     ) -> list[Action]:
-        """A rank answered an order, or did not."""
-        sent = self._waiting.get(order.rank)
+        """Handle a rank's answer to an order, or that none came."""
+        sent = self._unanswered.get(order.rank)
         if self.state is State.LOST or sent is None:
             return []
         if sent.order is not order:
@@ -249,93 +248,95 @@
                 self._enter(State.LOST, now)
                 return []
             case rank_protocol.Answer.REFUSED:
-                return self._refused(order, now)
-        del self._waiting[order.rank]
-        if self._waiting:
+                return self._on_refused(order, now)
+        del self._unanswered[order.rank]
+        if self._unanswered:
             return []
-        return self._all_accepted(now)
+        return self._on_all_accepted(now)
 
     def on_report(
         self, report: rank_protocol.Report, now: datetime.datetime
     ) -> list[Action]:
-        """A rank's report has come."""
+        """Handle a rank's report."""
         if self.state is State.LOST:
             return []
         if report.epoch != self.epoch or not report.open:
             self._enter(State.LOST, now)
             return []
         if report.rank == HOLD_RANK:
-            self._note_step(report, now)
-            self._is_fresh = report.age <= MAX_FRESH_AGE
-        if self.state is State.AWAIT_REPORTS and not self._shows_answers(
-            report, now
+            self._update_step(report, now)
+            self._hold_rank_is_fresh = report.age <= MAX_FRESH_AGE
+        if (
+            self.state is State.AWAIT_REPORTS
+            and not self._is_after_last_answers(report, now)
         ):
             return []
-        self._fresh[report.rank] = report
+        self._reports[report.rank] = report
         match self.state:
             case State.AWAIT_REPORTS:
-                return self._looked(now)
+                return self._on_rollback_reports(now)
             case State.AWAIT_COPIES:
-                return self._copied(now)
+                return self._on_copy_reports(now)
             case State.AWAIT_PASS:
-                return self._passed(report, now)
+                return self._on_pass_report(report, now)
             case State.READY if report.held is not None:
-                # A report from before the release shows the pass as held.
-                if self._shows_answers(report, now):
+                # A report from before the release still shows the hold.
+                if self._is_after_last_answers(report, now):
                     return self.roll_back(now)
         return []
 
     def tick(self, now: datetime.datetime) -> list[Action]:
-        """Send again, ask again, or undo a round that takes too long."""
-        if self._overdue(now):
+        """Repeat orders and requests; roll back a round after a timeout."""
+        if self._is_timed_out(now):
             return self.roll_back(now)
         if self.state in (
             State.AWAIT_REPORTS,
             State.AWAIT_COPIES,
             State.AWAIT_PASS,
         ):
-            return self._ask(now)
+            return self._request_reports(now)
         result: list[Action] = []
-        for sent in self._waiting.values():
+        for sent in self._unanswered.values():
             if now - sent.at >= RESEND_INTERVAL:
                 sent.at = now
                 result.append(sent.order)
         return result
 
-    # -- answers ---------------------------------------------------------
-
-    def _all_accepted(self, now: datetime.datetime) -> list[Action]:
+    def _on_all_accepted(self, now: datetime.datetime) -> list[Action]:
         match self.state:
             case State.FENCE:
-                self._settled_at = now
+                self._answered_at = now
                 self._enter(State.AWAIT_REPORTS, now)
             case State.DISARM:
                 return self._release(State.RELEASE, now)
             case State.RELEASE:
-                self._settled_at = now
+                self._answered_at = now
                 self._enter(State.READY, now)
             case State.PREPARE:
-                self._settled_at = now
+                self._answered_at = now
                 self._enter(State.AWAIT_COPIES, now)
             case State.HOLD:
                 return self._arm(now)
             case State.ARM:
                 return self._release(State.RELEASE_ARMED, now)
             case State.RELEASE_ARMED:
-                self._settled_at = now
+                self._answered_at = now
                 self._enter(State.AWAIT_PASS, now)
         return []
 
-    def _refused(
+    def _on_refused(
         self, order: rank_protocol.Order, now: datetime.datetime
     ) -> list[Action]:
         if self.state is State.FENCE:
-            # Only in another epoch does this order not fit.
+            # Ranks refuse this order only in another epoch.
             self._enter(State.LOST, now)
             return []
-        if self.state is State.HOLD and self._hold_tries < MAX_HOLD_ATTEMPTS:
-            # The pass has begun: hold a later one.  Nothing is armed.
-            self._pass += max(self._lead(), self._hold_tries)
+        if (
+            self.state is State.HOLD
+            and self._hold_attempts < MAX_HOLD_ATTEMPTS
+        ):
+            # The pass has begun; hold a later one.  No rank is armed yet.
+            self._pass += max(self._hold_lead(), self._hold_attempts)
             return self._hold(now)
         return self.roll_back(now)
 
@@ -352,30 +353,31 @@
         )
 
     def _hold(self, now: datetime.datetime) -> list[Action]:
-        self._hold_tries += 1
+        self._hold_attempts += 1
         self._enter(State.HOLD, now)
         return self._send(
             HOLD_RANK, rank_protocol.Op.HOLD, now, step=self._pass
         )
 
-    # -- reports ---------------------------------------------------------
+    def _on_rollback_reports(self, now: datetime.datetime) -> list[Action]:
+        """Continue the rollback once all ranks have reported.
 
-    def _looked(self, now: datetime.datetime) -> list[Action]:
-        """All ranks refuse earlier orders: their state stands still."""
-        if self._asked_at is None:
-            # Asked for before the freeze.
-            self._fresh.clear()
-        if len(self._fresh) < self.size:
+        All ranks refuse earlier orders, so their state cannot change.
+        """
+        if self._requested_at is None:
+            # These reports were requested before the rollback.
+            self._reports.clear()
+        if len(self._reports) < self.size:
             return []
-        held = self._fresh[HOLD_RANK].held
-        armed = [r for r in self._fresh.values() if r.armed is not None]
+        held = self._reports[HOLD_RANK].held
+        armed = [r for r in self._reports.values() if r.armed is not None]
         if held is None:
-            # A pass was released, so all ranks were armed for it, if any
-            # was: it passes by itself.
+            # The pass was released, so all ranks were armed for it; wait
+            # until it has begun.
             if armed:
-                self._fresh.clear()
+                self._reports.clear()
                 return []
-            self.version = self._fresh[HOLD_RANK].version
+            self.version = self._reports[HOLD_RANK].version
             self._enter(State.READY, now)
             return []
         self._pass = held
@@ -393,30 +395,32 @@
             )
         return result
 
-    def _copied(self, now: datetime.datetime) -> list[Action]:
-        if len(self._fresh) < self.size:
+    def _on_copy_reports(self, now: datetime.datetime) -> list[Action]:
+        if len(self._reports) < self.size:
             return []
-        if any(r.prepared != self._token for r in self._fresh.values()):
+        if any(r.prepared != self._token for r in self._reports.values()):
             return []
-        # Never a pass that was held before: a late RELEASE names it.
-        self._pass = max(self._pass + 1, self.step + self._lead())
-        self._hold_tries = 0
+        # Not a pass that was held before: a late RELEASE might release it.
+        self._pass = max(self._pass + 1, self.step + self._hold_lead())
+        self._hold_attempts = 0
         return self._hold(now)
 
-    def _lead(self) -> int:
-        """Return how many passes ahead of the last reported to hold.
+    def _hold_lead(self) -> int:
+        """Return how many passes after the last reported one to hold.
 
-        A hold that comes too late is refused and tried for a later pass.
+        A hold that arrives too late is refused and tried for a later pass.
         """
-        if self._is_fresh:
-            return 1 + int(self.rate * FRESH_HOLD_LEAD_TIME.total_seconds())
-        return self._lagging_lead()
+        if self._hold_rank_is_fresh:
+            return 1 + int(
+                self.pass_rate * FRESH_HOLD_LEAD_TIME.total_seconds()
+            )
+        return self._lagging_hold_lead()
 
-    def _lagging_lead(self) -> int:
-        lead = math.ceil(self.rate * HOLD_LEAD_TIME.total_seconds())
+    def _lagging_hold_lead(self) -> int:
+        lead = math.ceil(self.pass_rate * HOLD_LEAD_TIME.total_seconds())
         return lead + HOLD_LEAD_PASSES
 
-    def _passed(
+    def _on_pass_report(
         self, report: rank_protocol.Report, now: datetime.datetime
     ) -> list[Action]:
         if report.rank != HOLD_RANK:
@@ -425,52 +429,55 @@
             self.version = self._token
             self._enter(State.READY, now)
             return []
-        if report.held is not None and self._shows_answers(report, now):
-            # An order to hold that had no answer was carried out late.
+        if report.held is not None and self._is_after_last_answers(
+            report, now
+        ):
+            # An unanswered HOLD was carried out late.
             return self._release(State.RELEASE_ARMED, now)
-        if report.step > self._pass + self._lagging_lead():
-            # Should never be: the pass was begun with another map.
+        if report.step > self._pass + self._lagging_hold_lead():
+            # Unexpected: the pass has begun without the new map.
             return self.roll_back(now)
         return []
 
-    def _shows_answers(
+    def _is_after_last_answers(
         self, report: rank_protocol.Report, now: datetime.datetime
     ) -> bool:
-        """Whether a report shows what the last answers brought about."""
-        settled = self._settled_at
-        return settled is None or now - report.age >= settled
+        """Return whether a report is newer than the last answers."""
+        answered_at = self._answered_at
+        return answered_at is None or now - report.age >= answered_at
+
+    def _reports_may_lag(self, now: datetime.datetime) -> bool:
+        """Return whether reports may still be older than the last answers.
 
-    def _too_early(self, now: datetime.datetime) -> bool:
-        """Whether lagging reports cannot show the last answers yet."""
-        if self._is_fresh or self._settled_at is None:
+        Fresh reports never are.
+        """
+        if self._hold_rank_is_fresh or self._answered_at is None:
             return False
-        return now - self._settled_at < rank_protocol.MAX_REPORT_AGE
+        return now - self._answered_at < rank_protocol.MAX_REPORT_AGE
 
-    def _note_step(
+    def _update_step(
         self, report: rank_protocol.Report, now: datetime.datetime
     ) -> None:
-        """Keep the last pass and the rate of passes."""
+        """Update the last pass and the rate of passes."""
         self.step = max(self.step, report.step)
-        if self._stepped is not None:
-            step, at = self._stepped
+        if self._last_step_at is not None:
+            step, at = self._last_step_at
             span = (now - at).total_seconds()
             if span < 0.1:
                 return
-            rate = max(0, report.step - step) / span
-            self.rate = max(rate, self.rate * 0.5)
-        self._stepped = (report.step, now)
-
-    # -- sending ---------------------------------------------------------
+            pass_rate = max(0, report.step - step) / span
+            self.pass_rate = max(pass_rate, self.pass_rate * 0.5)
+        self._last_step_at = (report.step, now)
 
     def _enter(self, state: State, now: datetime.datetime) -> None:
         self.state = state
-        self._since = now
-        self._waiting.clear()
-        self._fresh.clear()
-        self._asked_at = None
+        self._entered_at = now
+        self._unanswered.clear()
+        self._reports.clear()
+        self._requested_at = None
 
-    def _overdue(self, now: datetime.datetime) -> bool:
-        since = self._since
+    def _is_timed_out(self, now: datetime.datetime) -> bool:
+        since = self._entered_at
         if since is None:
             return False
         if self.state in (State.PREPARE, State.AWAIT_COPIES):
@@ -479,22 +486,26 @@
             return now - since > ARM_TIMEOUT
         return False
 
-    def _ask(self, now: datetime.datetime) -> list[Action]:
-        """Ask for reports, each time for all that are still needed."""
-        if self.state is State.AWAIT_REPORTS and self._too_early(now):
+    def _request_reports(self, now: datetime.datetime) -> list[Action]:
+        """Request all reports that are still needed, once an interval."""
+        if self.state is State.AWAIT_REPORTS and self._reports_may_lag(now):
             return []
-        interval = FRESH_REPORT_INTERVAL if self._is_fresh else REPORT_INTERVAL
-        asked = self._asked_at
+        interval = (
+            FRESH_REPORT_INTERVAL
+            if self._hold_rank_is_fresh
+            else REPORT_INTERVAL
+        )
+        asked = self._requested_at
         if asked is not None and now - asked < interval:
             return []
-        self._asked_at = now
+        self._requested_at = now
         if self.state is State.AWAIT_PASS:
             return [RequestReport(rank=HOLD_RANK)]
         done: abc.Container[int] = ()
         if self.state is State.AWAIT_COPIES:
             done = {
                 r.rank
-                for r in self._fresh.values()
+                for r in self._reports.values()
                 if r.prepared == self._token and r.rank != HOLD_RANK
             }
         return [
@@ -536,5 +547,5 @@
             step=step,
             new_map=new_map,
         )
-        self._waiting[rank] = _Sent(order=order, at=now)
+        self._unanswered[rank] = _SentOrder(order=order, at=now)
         return [order]
--- a/src/aspenfold/_internal/expertmaps/messages.py
+++ b/src/aspenfold/_internal/expertmaps/messages.py
@@ -1,11 +1,14 @@
-"""Messages and actions of the expert map protocol."""
+"""Messages between the leader and the ranks, and actions for the engine."""
 
 import dataclasses
 import enum
 
 
 class Kind(enum.StrEnum):
-    """Kinds of messages; the first three go to ranks."""
+    """Kinds of messages.
+
+    RECRUIT, PREPARE and GRANT go to ranks, the others to the leader.
+    """
 
     RECRUIT = 'recruit'
     PREPARE = 'prepare'
@@ -17,20 +20,22 @@
 
 
 NONCE_BITS = 20
-"""Low bits of a ballot, random, so that no two leaders share one."""
+"""Low bits of a ballot.  They are random, so that two leaders with the same
+counter have different ballots."""
 
 
 def ballot_counter(ballot: int) -> int:
-    """Return the part of a ballot that every new leader raises."""
+    """Return the counter of a ballot, which each new leader increments."""
     return ballot >> NONCE_BITS
 
 
 TO_RANKS = frozenset((Kind.RECRUIT, Kind.PREPARE, Kind.GRANT))
+"""Kinds of messages to ranks."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True, order=True)
 class StepRun:
-    """Steps ``first`` to ``last``, both included, use map ``version``."""
+    """The steps from ``first`` to ``last`` inclusive, on map ``version``."""
 
     first: int
     last: int
@@ -39,13 +44,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Message:
-    """One message between the leader and a rank of a group.
+    """A message between the leader and a rank of a group.
 
-    ``incarnation`` is the rank's agent's: empty on RECRUIT, learned from
-    PROMISED, and checked by the rank on all other messages, so that
-    nothing sent to a replaced rank reaches its replacement.
-    ``granted_to`` is the last step that the rank's engine was granted,
-    ``step`` the last that it finished; -1 for none.
+    ``incarnation`` identifies the process of the rank's agent.  It is empty
+    on RECRUIT; the leader learns it from PROMISED, and the rank checks it
+    on all other messages, so that a replacement ignores what was sent to
+    its predecessor.  ``last_granted_step`` is the last step that the rank's
+    engine was granted, ``step`` the last that it finished; -1 for none.
     """
 
     group: str
@@ -71,14 +76,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OrderReset:
-    """Have the engine forget all grants that it has not finished."""
+    """Make the engine discard all unfinished grants.
+
+    ``fencing`` is the fencing token of an order to the engine: the ballot.
+    """
 
     fencing: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OrderPrepare:
-    """Have the engine load what map ``version`` gives this rank."""
+    """Make the engine load this rank's ``experts`` of map ``version``."""
 
     version: int
     experts: tuple[int, ...]
@@ -87,11 +95,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OrderGrant:
-    """Give the engine a run of steps."""
+    """Grant the engine a run of steps."""
 
     run: StepRun
     fencing: int
 
 
 Action = SendMessage | OrderReset | OrderPrepare | OrderGrant
-"""What the machines ask of their shell."""
+"""What LeaderMachine and RankMachine return for the caller to carry out."""
--- a/src/aspenfold/_internal/expertmaps/planner.py
+++ b/src/aspenfold/_internal/expertmaps/planner.py
@@ -1,7 +1,8 @@
-"""Plans which rank holds which experts.
+"""Interface of the map planners, and the functions that they share.
 
-A plan is judged by skew, the largest rank load over the mean, and by
-the weights that it moves: slots whose expert the rank did not hold.
+A placement says which rank holds which experts.  Its quality is its skew,
+the largest load of a rank divided by the mean, and its cost is the number
+of expert weights that it moves to ranks that did not hold them.
 """
 
 from collections import abc
@@ -13,16 +14,18 @@
 from aspenfold._internal.models import fleet
 
 KIND = 'map'
+"""The plug-in kind in the registry."""
 
 Placement = list[list[int]]
+"""The experts of each rank, by rank."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MapShape:
     """Sizes of a group's map.
 
-    ``max_new_experts`` bounds how many experts that a rank does not hold one
-    change may bring to it; None for no bound.
+    ``max_new_experts`` is how many experts a rank may get in one change
+    that it does not hold; None for no limit.
     """
 
     ranks: int
@@ -32,7 +35,7 @@
 
 
 class MapPlanner(typing.Protocol):
-    """Proposes a placement for a group."""
+    """Plans a placement for a group."""
 
     def plan(
         self,
@@ -41,11 +44,16 @@
         current: Placement,
         price: fleet.MapPrice,
     ) -> Placement:
-        """Return a placement; ``current`` is empty for the first."""
+        """Return a placement.
+
+        ``load`` has a number for each expert.  ``current`` is the placement
+        in use, empty if there is none.  ``price`` weighs skew against
+        moved weights.
+        """
 
 
 def rank_loads(placement: Placement, load: abc.Sequence[float]) -> list[float]:
-    """Return each rank's load; an expert's is split over its replicas."""
+    """Return each rank's load; replicas share an expert's load evenly."""
     replicas = [0] * len(load)
     for experts in placement:
         for expert in experts:
@@ -56,7 +64,7 @@
 
 
 def skew(placement: Placement, load: abc.Sequence[float]) -> float:
-    """Return the largest rank load over the mean, 1.0 when even."""
+    """Return the largest rank load divided by the mean, 1.0 when even."""
     loads = rank_loads(placement, load)
     mean = sum(loads) / len(loads)
     return max(loads) / mean if mean else 1.0
@@ -66,7 +74,10 @@
     old: abc.Sequence[abc.Collection[int]],
     new: abc.Sequence[abc.Collection[int]],
 ) -> int:
-    """Return how many expert weights ``new`` loads that ``old`` lacks."""
+    """Return how many expert weights move from ``old`` to ``new``.
+
+    Those are the experts that a rank holds in ``new`` but not in ``old``.
+    """
     return sum(
         len(set(after) - set(before))
         for before, after in zip(old, new, strict=True)
@@ -74,7 +85,11 @@
 
 
 def allocate_replicas(shape: MapShape, load: abc.Sequence[float]) -> list[int]:
-    """Return each expert's replica count: spare slots go to the hottest."""
+    """Return each expert's replica count.
+
+    Every expert gets one slot; each spare slot goes to the expert with the
+    highest load per replica.
+    """
     counts = [1] * shape.experts
     spare = shape.ranks * shape.slots_per_rank - shape.experts
     heap = [(-load[e], e) for e in range(shape.experts)]
@@ -90,30 +105,33 @@
 
 
 def pack(shape: MapShape, load: abc.Sequence[float]) -> Placement:
-    """Pack replicas, heaviest first, on the least loaded rank with room."""
+    """Return a placement that packs replicas greedily, heaviest first.
+
+    Each one goes to the least loaded rank that has a free slot.
+    """
     counts = allocate_replicas(shape, load)
-    pieces = sorted(
+    replica_loads = sorted(
         ((load[e] / counts[e], e) for e in range(shape.experts)),
         reverse=True,
     )
     placement: Placement = [[] for _ in range(shape.ranks)]
     totals = [0.0] * shape.ranks
-    for piece, expert in pieces:
-        open_ranks = [
+    for replica_load, expert in replica_loads:
+        free_ranks = [
             r
             for r in range(shape.ranks)
             if len(placement[r]) < shape.slots_per_rank
         ]
-        open_ranks.sort(key=lambda r: (totals[r], r))
-        for rank in open_ranks[: counts[expert]]:
+        free_ranks.sort(key=lambda r: (totals[r], r))
+        for rank in free_ranks[: counts[expert]]:
             placement[rank].append(expert)
-            totals[rank] += piece
+            totals[rank] += replica_load
     return [sorted(experts) for experts in placement]
 
 
 @registry.register(KIND, 'full')
 class FullReplan:
-    """A baseline: pack from scratch whatever it moves."""
+    """Baseline that packs from scratch, regardless of moved weights."""
 
     def plan(
         self,
@@ -122,13 +140,13 @@
         current: Placement,
         price: fleet.MapPrice,
     ) -> Placement:
-        """Return the packing of ``load``."""
+        """Return a new placement for ``load``."""
         return pack(shape, load)
 
 
 @registry.register(KIND, 'none')
 class NoReplan:
-    """A baseline: keep the first placement for ever."""
+    """Baseline that never changes the first placement."""
 
     def plan(
         self,
@@ -137,5 +155,5 @@
         current: Placement,
         price: fleet.MapPrice,
     ) -> Placement:
-        """Return ``current``."""
+        """Return ``current``, or a first placement if there is none."""
         return current or pack(shape, load)
--- a/src/aspenfold/_internal/expertmaps/rank_machine.py
+++ b/src/aspenfold/_internal/expertmaps/rank_machine.py
@@ -1,23 +1,25 @@
-"""The part of a group's protocol that every rank's agent plays."""
+"""A rank's side of the step-granting protocol; it runs in its agent."""
 
 from collections import abc
 
 from aspenfold._internal.expertmaps import messages
 
 PROGRESS_INTERVAL_STEPS = 25
-"""Steps between two progress messages to the leader."""
+"""Number of steps between two progress messages to the leader."""
 
 MAX_MISSING_GRANT_POLLS = 3
-"""Looks in a row at an engine that lacks a grant which it took."""
+"""Consecutive polls of an engine without a run that it took, after which
+the run counts as lost."""
 
 Kind = messages.Kind
 
 
 class RankMachine:
-    """Promises, prepares and takes grants on behalf of one rank's engine.
+    """Promises ballots, prepares maps and takes grants for one engine.
 
-    What the engine has is learned from the engine itself, so that an
-    agent's restart beside a living engine forgets nothing.
+    The initial state comes from the engine, so that nothing is lost when
+    only the agent restarts.  The methods return messages to the leader and
+    orders for the engine.
     """
 
     def __init__(
@@ -40,20 +42,20 @@
         self._ordered_runs: set[messages.StepRun] = set()
         self._prepared: set[int] = set(prepared)
         self._preparing: set[int] = set()
-        self._reset_done = False
+        self._is_reset = False
         self._is_requesting_ballot = False
         self._leader = 0
         self._last_progress_step = -1
         self._missing_grant_polls = 0
 
     def receive(self, message: messages.Message) -> list[messages.Action]:
-        """Take a message from a leader; old ballots are rejected."""
+        """Handle a message from a leader; reject one with an old ballot."""
         if message.kind is Kind.RECRUIT:
             return self._recruit(message)
-        wrong = message.incarnation != self.incarnation
-        if wrong or message.ballot != self.promised_ballot:
-            # The answer tells the leader what it has missed: a higher
-            # ballot, or that the rank's agent is a new one.
+        is_other_incarnation = message.incarnation != self.incarnation
+        if is_other_incarnation or message.ballot != self.promised_ballot:
+            # The rejection informs the leader of the higher ballot or of
+            # the new incarnation.
             return [self._rejection(message.sender, self.promised_ballot)]
         if self._is_requesting_ballot:
             # The first request for a higher ballot may have been lost.
@@ -64,21 +66,19 @@
             return self._grant(message)
         return []
 
-    # -- from the engine -------------------------------------------------
-
     def on_engine_reset(
         self, fencing_token: int, last_granted_step: int, step: int
     ) -> list[messages.Action]:
-        """The engine forgot its grants; now the promise can be given."""
+        """Handle a reset of the engine's grants; promise the ballot."""
         self._granted_to = max(self._granted_to, last_granted_step)
         self.step = max(self.step, step)
         if fencing_token != self.promised_ballot:
             return []
-        self._reset_done = True
+        self._is_reset = True
         return [self._message_leader(Kind.PROMISED)]
 
     def on_engine_prepared(self, version: int) -> list[messages.Action]:
-        """The engine holds the weights of map ``version``."""
+        """Handle that the engine has loaded the weights of a map."""
         self._preparing.discard(version)
         self._prepared.add(version)
         return [self._message_leader(Kind.PREPARED, version=version)]
@@ -86,7 +86,7 @@
     def on_engine_granted(
         self, run: messages.StepRun, fencing_token: int
     ) -> list[messages.Action]:
-        """The engine took a run."""
+        """Handle that the engine took a run."""
         self._granted_to = max(self._granted_to, run.last)
         if fencing_token != self.promised_ballot:
             return []
@@ -96,10 +96,11 @@
     def on_order_failed(
         self, action: messages.Action
     ) -> list[messages.Action]:
-        """The engine did not take an order; the leader asks again.
+        """Handle an order that the engine did not take.
 
-        A reset may be refused because the engine knows a higher fencing
-        number than this agent, which was restarted since.
+        The leader will repeat it.  The engine may refuse a reset because it
+        has seen a higher fencing token than this agent, which may have been
+        restarted.
         """
         match action:
             case messages.OrderPrepare(version=version):
@@ -114,10 +115,14 @@
     def on_engine_state(
         self, step: int, runs: abc.Iterable[messages.StepRun]
     ) -> list[messages.Action]:
-        """The engine finished ``step`` and holds ``runs``."""
-        held = set(runs)
-        self.map_in_use = _version_at(held, step + 1)
-        if self._reset_done and self._has_lost_sync(step, held):
+        """Handle the result of a poll of the engine.
+
+        ``step`` is the last step that it finished, ``runs`` are the
+        unfinished runs that it holds.
+        """
+        held_runs = set(runs)
+        self.map_in_use = _map_version_from(held_runs, step + 1)
+        if self._is_reset and self._has_lost_sync(step, held_runs):
             return self._request_higher_ballot()
         self._ordered_runs = {
             run for run in self._ordered_runs if run.last > step
@@ -127,52 +132,52 @@
         self.step = step
         self._runs = {run for run in self._runs if run.last > step}
         if (
-            not self._reset_done
+            not self._is_reset
             or step < self._last_progress_step + PROGRESS_INTERVAL_STEPS
         ):
             return []
         self._last_progress_step = step
         return [self._message_leader(Kind.GRANTED)]
 
-    # -- parts -----------------------------------------------------------
+    def _has_lost_sync(
+        self, step: int, held_runs: set[messages.StepRun]
+    ) -> bool:
+        """Return whether the engine took an old order of another agent.
 
-    def _has_lost_sync(self, step: int, held: set[messages.StepRun]) -> bool:
-        """Return whether the engine took an old order from elsewhere.
-
-        An engine that does not check fencing numbers takes the late
-        grant or reset of a paused agent.  The steps of such a grant are
-        used up, so no map is mixed, but the engine would wait for ever,
-        in steps that no other rank has or without the grants that it
-        forgot.  A higher ballot then resets the whole group.
+        An engine that does not check fencing tokens may take a late grant
+        or reset from a paused agent.  The steps of such a grant are used
+        up, so maps are not mixed, but the engine would wait forever for
+        steps that no other rank has, or for grants that it discarded.  A
+        higher ballot resets the whole group.
         """
-        if held - self._ordered_runs:
+        if held_runs - self._ordered_runs:
             return True
-        lost = {run for run in self._runs if run.last > step} - held
-        # One look may have been taken before the engine had the grant.
+        lost = {run for run in self._runs if run.last > step} - held_runs
+        # A single poll may have been read before the engine had the run.
         self._missing_grant_polls = (
             self._missing_grant_polls + 1 if lost else 0
         )
         return self._missing_grant_polls >= MAX_MISSING_GRANT_POLLS
 
     def _request_higher_ballot(self) -> list[messages.Action]:
-        """Ask the leader for a ballot of a higher counter."""
-        self._reset_done = False
+        """Make the leader take a ballot with a higher counter."""
+        self._is_reset = False
         self._is_requesting_ballot = True
         ballot = self.promised_ballot + (1 << messages.NONCE_BITS)
         return [self._rejection(self._leader, ballot)]
 
     def _recruit(self, message: messages.Message) -> list[messages.Action]:
-        if message.ballot == self.promised_ballot and self._reset_done:
+        if message.ballot == self.promised_ballot and self._is_reset:
             return [self._message_leader(Kind.PROMISED)]
-        # Two leaders may choose one counter; only the first is heeded,
-        # since the steps that a leader skips depend on the counter.
+        # Two leaders may choose the same counter.  Only the first one is
+        # accepted, since the counter determines which steps are skipped.
         if message.ballot != self.promised_ballot and messages.ballot_counter(
             message.ballot
         ) <= messages.ballot_counter(self.promised_ballot):
             return [self._rejection(message.sender, self.promised_ballot)]
         self.promised_ballot = message.ballot
         self._leader = message.sender
-        self._reset_done = False
+        self._is_reset = False
         self._is_requesting_ballot = False
         self._runs.clear()
         self._ordered_runs.clear()
@@ -197,8 +202,8 @@
     def _grant(self, message: messages.Message) -> list[messages.Action]:
         result: list[messages.Action] = []
         for run in message.runs:
-            # A map that this rank has not prepared is never granted to
-            # it; a leader that did so would be at fault.
+            # A correct leader never grants a map that the rank has not
+            # prepared.
             if run.version not in self._prepared or run in self._ordered_runs:
                 continue
             if run.last <= self.step:
@@ -240,7 +245,10 @@
         )
 
 
-def _version_at(runs: abc.Iterable[messages.StepRun], step: int) -> int:
-    """Return the map of the first granted step from ``step`` on, or 0."""
+def _map_version_from(runs: abc.Iterable[messages.StepRun], step: int) -> int:
+    """Return the map version of the first granted step from ``step`` on.
+
+    Return 0 if there is none.
+    """
     later = [run for run in runs if run.last >= step]
     return min(later).version if later else 0
--- a/src/aspenfold/_internal/expertmaps/rank_protocol.py
+++ b/src/aspenfold/_internal/expertmaps/rank_protocol.py
@@ -1,7 +1,7 @@
-"""What a rank's engine reports, and the orders that it takes.
+"""Reports of a rank's engine and orders to it.
 
-These are the orders of engines that keep expert maps themselves: the
-group switches at a pass that the orders name.
+For engines that keep expert maps themselves and switch at the pass that an
+order names.
 """
 
 import dataclasses
@@ -9,19 +9,19 @@
 import enum
 
 MAX_REPORT_AGE = datetime.timedelta(milliseconds=500)
-"""Reports that an engine gives to other hosts are about 200 ms old; they
-surely show by then what an answer before them brought about."""
+"""Upper bound of the age of a report that another host reads from an
+engine.  After this time a report shows the effect of an answered order."""
 
 SetMap = tuple[tuple[int, ...], ...]
-"""The experts of each rank, in one set of layers."""
+"""The experts of each rank, for one set of layers."""
 
 Map = tuple[SetMap, ...]
-"""All sets of layers."""
+"""An expert map: a SetMap for each set of layers."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Armed:
-    """A rank will use map ``version`` from pass ``step`` on."""
+    """A rank is armed: it will use map ``version`` from pass ``step`` on."""
 
     version: int
     step: int
@@ -29,12 +29,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """A rank's state, at most ``age`` old when it came.
+    """A rank's state, at most ``age`` old on arrival.
 
-    ``step`` is the last pass that was begun, ``held`` the pass that the
-    group does not begin until it is released, ``prepared`` the version
-    whose experts are all copied.  ``pace`` over 1 means that the rank
-    takes so much longer for its work.
+    ``open`` says whether the group takes requests.  ``step`` is the last
+    pass that was begun.  ``version`` is the map in use, and ``prepared``
+    the version whose experts are all copied.  ``held`` is the pass that
+    the group will not begin until it is released.  ``slowdown`` is how
+    many times longer than normal the rank takes for its work.
     """
 
     group: str
@@ -55,7 +56,7 @@
 class Counts:
     """How often a rank's requests chose each expert since its start.
 
-    One number for each expert, set after set.
+    ``counts`` has one number per expert, set after set.
     """
 
     epoch: int
@@ -64,34 +65,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RankMap:
-    """The experts that one rank uses, by set, and their map's version."""
+    """The experts that one rank uses, by set, and the map's version."""
 
     version: int
     experts: SetMap
 
 
 class Op(enum.Enum):
-    """What an order asks of a rank."""
+    """Operation of an order."""
 
     PREPARE = 'prepare'
-    """Copy the experts that a map brings to the rank."""
+    """Copy the experts of a new map that the rank does not have."""
 
     ARM = 'arm'
-    """Switch to a prepared map as a pass begins."""
+    """Switch to a prepared map when a given pass begins."""
 
     DISARM = 'disarm'
-    """Do not switch to a version."""
+    """Undo ARM for a version."""
 
     HOLD = 'hold'
-    """Let the group not begin a pass."""
+    """Do not let the group begin a given pass."""
 
     RELEASE = 'release'
-    """Let it begin that pass."""
+    """Undo HOLD for a pass."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Order:
-    """One order; ``token`` is the fencing token of its round."""
+    """An order to a rank; ``token`` is the fencing token of its round."""
 
     rank: int
     op: Op
@@ -103,16 +104,16 @@
 
 
 class Answer(enum.Enum):
-    """How a rank answered an order."""
+    """A rank's answer to an order."""
 
     ACCEPTED = 'accepted'
-    """The state holds, or will without fail."""
+    """The order was carried out or certainly will be."""
 
     REFUSED = 'refused'
-    """It does not fit the rank's state; nothing was done."""
+    """The order does not fit the rank's state; nothing was done."""
 
     FENCED = 'fenced'
-    """The rank has taken an order with a higher token."""
+    """The rank has accepted an order with a higher token."""
 
     NONE = 'none'
-    """No answer: it may be carried out, now or seconds later."""
+    """No answer: the order may be carried out, now or seconds later."""
--- a/src/aspenfold/_internal/expertmaps/stage_planner.py
+++ b/src/aspenfold/_internal/expertmaps/stage_planner.py
@@ -1,10 +1,10 @@
-"""Plans one stage of a change of map over all sets of layers at once.
+"""Plans one stage of a map change, for all sets of layers together.
 
-For demand that moves on every few seconds, where one expert takes a good
-part of a second to copy: a whole plan is out of date once its slowest rank
-has copied all that is new to it.  A stage brings each rank a few experts
-at most, over all sets together, and takes the moves that gain most first;
-the next stage goes on from there, or from new demand.
+Demand may change every few seconds, and copying an expert takes a large
+part of a second, so a complete plan would be outdated before all ranks have
+copied their new experts.  A stage gives each rank only a few new experts
+and makes the moves with the highest gain; the next stage continues from its
+result.
 """
 
 from collections import abc
@@ -14,31 +14,36 @@
 from aspenfold._internal.expertmaps import planner
 
 MIN_SKEW_GAIN = 0.02
-"""Skew of one set that a copy must save: less is within the noise of a
-tenth of a second's counts."""
+"""Skew of one set that each copied expert must save; less is within the
+noise of the counts."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Best:
-    """The best move that a set's draft has, and what it gains."""
+class _BestMove:
+    """The best move of a set's draft and its gain per new expert."""
 
     gain: float
     move: descent.Move
 
 
 class StagePlanner:
-    """Drafts of all sets that share the ranks' copies."""
+    """Plans a stage in ``drafts``, one for each set of layers."""
 
     def __init__(
         self,
         *,
         shape: planner.MapShape,
-        loads: abc.Sequence[abc.Sequence[float]],
+        loads_by_set: abc.Sequence[abc.Sequence[float]],
         current: abc.Sequence[planner.Placement],
         slowdowns: abc.Sequence[float],
         max_copies_per_rank: int,
     ) -> None:
-        """``copies`` bounds the experts that are new to any rank."""
+        """Start from the ``current`` placements.
+
+        ``loads_by_set`` has each set's demand by expert, ``slowdowns`` a
+        load factor for each rank.  ``max_copies_per_rank`` limits the new
+        experts of a rank over all sets.
+        """
         left = [max_copies_per_rank] * shape.ranks
         self.drafts = [
             descent.PlacementDraft(
@@ -48,30 +53,35 @@
                 slowdowns=slowdowns,
                 copy_budget=left,
             )
-            for load, placement in zip(loads, current, strict=True)
+            for load, placement in zip(loads_by_set, current, strict=True)
         ]
-        self._best: dict[int, _Best] = {}
+        self._best_moves: dict[int, _BestMove] = {}
 
     def skew(self) -> float:
-        """Return the mean skew of the sets as drafted."""
+        """Return the mean skew of the drafts."""
         return sum(d.skew() for d in self.drafts) / len(self.drafts)
 
     def iter_moves(self) -> abc.Iterator[None]:
-        """Make the moves that pay; pause after each search for one."""
-        for number in range(len(self.drafts)):
-            self._search(number)
+        """Apply the best moves, yielding after each search for one.
+
+        The caller can do other work in between.
+        """
+        for set_index in range(len(self.drafts)):
+            self._update_best(set_index)
             yield
-        while self._best:
-            number = max(self._best, key=lambda n: self._best[n].gain)
-            draft, best = self.drafts[number], self._best[number]
+        while self._best_moves:
+            set_index = max(
+                self._best_moves, key=lambda n: self._best_moves[n].gain
+            )
+            draft, best = self.drafts[set_index], self._best_moves[set_index]
             if draft.is_allowed(best.move):
                 draft.apply(best.move)
-            self._search(number)
+            self._update_best(set_index)
             yield
 
-    def _search(self, number: int) -> None:
-        found = self.drafts[number].best_move(MIN_SKEW_GAIN)
+    def _update_best(self, set_index: int) -> None:
+        found = self.drafts[set_index].best_move(MIN_SKEW_GAIN)
         if found is None:
-            self._best.pop(number, None)
+            self._best_moves.pop(set_index, None)
             return
-        self._best[number] = _Best(gain=found[0], move=found[1])
+        self._best_moves[set_index] = _BestMove(gain=found[0], move=found[1])
--- a/src/aspenfold/_internal/expertmaps/sticky.py
+++ b/src/aspenfold/_internal/expertmaps/sticky.py
@@ -1,4 +1,4 @@
-"""Packs experts anew but leaves replicas where they are if they fit."""
+"""Map planner that packs anew but keeps replicas in place where they fit."""
 
 from collections import abc
 
@@ -8,13 +8,15 @@
 from aspenfold._internal.models import fleet
 
 REPLICA_HYSTERESIS = 1.3
-"""How much hotter an expert must be to take a replica from another."""
+"""Ratio of the loads per replica from which one expert takes a replica from
+another."""
 
 TOLERANCES = (1.0, 1.03, 1.08, 1.15)
-"""Loads over the mean up to which a replica may stay where it is."""
+"""Rank loads, relative to the mean, up to which replicas stay in place.  One
+plan is made for each."""
 
 SKEW_PRICE = 400.0
-"""Weights that a skew of 1 above the bound is worth, a rank."""
+"""Moved weights per rank that cost as much as a skew of 1 above the bound."""
 
 
 def adjust_replicas(
@@ -22,7 +24,7 @@
     load: abc.Sequence[float],
     current: planner.Placement,
 ) -> list[int]:
-    """Return replica counts near the current ones."""
+    """Return each expert's replica count, changed as little as possible."""
     counts = [0] * shape.experts
     for experts in current:
         for expert in experts:
@@ -51,42 +53,45 @@
     current: planner.Placement,
     tolerance: float,
 ) -> planner.Placement:
-    """Pack heaviest first; a replica stays if its rank has room.
+    """Return a placement that packs replicas greedily, heaviest first.
 
-    A rank has room up to ``tolerance`` times the mean load.
+    A replica stays on its rank while that rank's load is at most
+    ``tolerance`` times the mean.
     """
     counts = adjust_replicas(shape, load, current)
     limit = sum(load) / shape.ranks * tolerance
-    held = [set(experts) for experts in current]
+    current_experts = [set(experts) for experts in current]
     placed: list[set[int]] = [set() for _ in range(shape.ranks)]
     totals = [0.0] * shape.ranks
     order = sorted(
         range(shape.experts), key=lambda e: load[e] / counts[e], reverse=True
     )
     for expert in order:
-        piece = load[expert] / counts[expert]
-        open_ranks = [
+        replica_load = load[expert] / counts[expert]
+        free_ranks = [
             rank
             for rank in range(shape.ranks)
             if len(placed[rank]) < shape.slots_per_rank
         ]
-        # Where it is already and fits first, then the least loaded.
-        open_ranks.sort(
+        # Ranks that hold the expert and stay within the limit come first,
+        # then the least loaded ones.
+        free_ranks.sort(
             key=lambda r: (
-                expert not in held[r] or totals[r] + piece > limit,
+                expert not in current_experts[r]
+                or totals[r] + replica_load > limit,
                 totals[r],
                 r,
             )
         )
-        for rank in open_ranks[: counts[expert]]:
+        for rank in free_ranks[: counts[expert]]:
             placed[rank].add(expert)
-            totals[rank] += piece
+            totals[rank] += replica_load
     return [sorted(experts) for experts in placed]
 
 
 @registry.register(planner.KIND, 'priced')
 class PricedPlan:
-    """Takes the cheapest of several plans at the fleet's prices."""
+    """Makes several plans and takes the cheapest at the fleet's prices."""
 
     def __init__(self) -> None:
         self._greedy = greedy.GreedyMoves()
@@ -98,7 +103,7 @@
         current: planner.Placement,
         price: fleet.MapPrice,
     ) -> planner.Placement:
-        """Return the plan with the lowest price; keeping all is one."""
+        """Return the cheapest plan, which may be ``current``."""
         if not current:
             return planner.pack(shape, load)
         if planner.skew(current, load) <= price.skew_bound:
--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -71,8 +71,8 @@
         ``current`` is the map in use, ``slowdowns`` how much longer each rank
         takes for the same work.
         """
-        loads = self._demand.loads()
-        if loads is None:
+        loads_by_set = self._demand.loads_by_set()
+        if loads_by_set is None:
             return None
         stage = stage_planner.StagePlanner(
             shape=planner.MapShape(
@@ -81,7 +81,7 @@
                 slots_per_rank=self._shape.slots_per_rank,
                 max_new_experts=self._shape.spare,
             ),
-            loads=loads,
+            loads_by_set=loads_by_set,
             current=[[list(held) for held in one] for one in current],
             slowdowns=slowdowns,
             max_copies_per_rank=self._copies,
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -1,4 +1,4 @@
-"""What a leader takes the demand for experts to be."""
+"""Tests of the estimate of the demand for experts."""
 
 import datetime
 import random
@@ -15,14 +15,14 @@
 EXPERTS = 96
 SETS = 3
 CHOICES = 100_000
-"""Choices of one prompt over all sets, at the users' sizes."""
+"""Choices of one prompt over all sets."""
 
 
 class Group:
-    """One rank's counts, which grow with what is read there."""
+    """Counts of a rank, and the estimate made from them."""
 
     def __init__(self, *, sets: int, experts: int) -> None:
-        self.found = demand_estimator.DemandEstimator(
+        self.estimator = demand_estimator.DemandEstimator(
             sets=sets, experts=experts
         )
         self.now = clock.EPOCH
@@ -35,35 +35,35 @@
         self.counts[expert] += count
 
     def sample(self) -> None:
-        """Let the leader read the counts."""
+        """Update the estimate with the current counts."""
         counts = rank_protocol.Counts(
             epoch=self.epoch, counts=tuple(self.counts)
         )
-        self.found.add_counts(0, counts)
-        self.found.update_estimate(self.now)
+        self.estimator.add_counts(0, counts)
+        self.estimator.update_estimate(self.now)
 
-    def loads(self) -> list[list[float]]:
-        """Return what is known of demand."""
-        loads = self.found.loads()
-        assert loads is not None
-        return loads
+    def loads_by_set(self) -> list[list[float]]:
+        """Return the estimated demand, which must be known."""
+        loads_by_set = self.estimator.loads_by_set()
+        assert loads_by_set is not None
+        return loads_by_set
 
 
 def test_demand_follows_the_newest_counts() -> None:
-    """What was chosen a while ago weighs little."""
+    """Older counts must not outweigh newer ones."""
     group = Group(sets=1, experts=4)
-    assert group.found.loads() is None
+    assert group.estimator.loads_by_set() is None
     for chosen in (1, 1, 1, 2, 2, 2):
         group.now += SECOND
         group.choose(chosen, 40_000)
         group.sample()
-    loads = group.loads()
-    assert loads[0][2] > 0.7
-    assert sum(loads[0]) == pytest.approx(1.0)
+    loads_by_set = group.loads_by_set()
+    assert loads_by_set[0][2] > 0.7
+    assert sum(loads_by_set[0]) == pytest.approx(1.0)
 
 
-def test_demand_outlasts_a_group_that_stands() -> None:
-    """It is known as soon as the group runs again, in a new epoch."""
+def test_demand_outlasts_an_outage() -> None:
+    """Demand must be known at once when the group recovers."""
     group = Group(sets=1, experts=4)
     for _ in range(2):
         group.now += SECOND
@@ -74,78 +74,74 @@
         group.sample()
     group.epoch, group.counts = 2, [0, 0, 0, 0]
     group.sample()
-    assert group.loads()[0][1] > 0.7
-    # What is in demand now soon weighs more.
+    assert group.loads_by_set()[0][1] > 0.7
+    # New counts soon outweigh the ones from before the outage.
     for _ in range(3):
         group.now += SECOND
         group.choose(2, 30_000)
         group.sample()
-    assert group.loads()[0][2] > 0.6
+    assert group.loads_by_set()[0][2] > 0.6
 
 
-def likes(rng: random.Random) -> list[list[float]]:
-    """Return how much each expert is liked, by set: few are, and much."""
+def random_popularity(rng: random.Random) -> list[list[float]]:
+    """Return a random popularity of each expert, by set; few are popular."""
     result = []
     for _ in range(SETS):
-        one = [1 / (place + 1) ** 1.3 for place in range(EXPERTS)]
-        rng.shuffle(one)
-        total = sum(one)
-        result.append([share / total for share in one])
+        weights = [1 / (index + 1) ** 1.3 for index in range(EXPERTS)]
+        rng.shuffle(weights)
+        total = sum(weights)
+        result.append([weight / total for weight in weights])
     return result
 
 
 def read_prompt(
     group: Group, common: list[list[float]], rng: random.Random
 ) -> None:
-    """Count a prompt's choices: most are common to all, some its own."""
-    own = likes(rng)
+    """Count the choices of a prompt: 70% common to all, 30% its own."""
+    own = random_popularity(rng)
     for number in range(SETS):
         for expert in range(EXPERTS):
-            share = 0.7 * common[number][expert] + 0.3 * own[number][expert]
-            choices = int(share * CHOICES / SETS)
+            weight = 0.7 * common[number][expert] + 0.3 * own[number][expert]
+            choices = int(weight * CHOICES / SETS)
             group.choose(number * EXPERTS + expert, choices)
 
 
-def error(loads: list[list[float]], common: list[list[float]]) -> float:
-    """Return how far the estimate of the most liked experts is off."""
+def error(loads_by_set: list[list[float]], common: list[list[float]]) -> float:
+    """Return the largest error of the estimate of a most popular expert."""
     worst = 0.0
-    for load, liked in zip(loads, common, strict=True):
-        top = liked.index(max(liked))
-        worst = max(worst, abs(load[top] - 0.7 * liked[top]))
+    for load, popular in zip(loads_by_set, common, strict=True):
+        top = popular.index(max(popular))
+        worst = max(worst, abs(load[top] - 0.7 * popular[top]))
     return worst
 
 
-def test_a_shift_shows_within_two_prompts() -> None:
-    """Load pattern: other experts are liked from one pass to the next.
-
-    Before, a second after a shift half of the estimate was still the
-    demand that had gone.
-    """
+def test_a_shift_is_detected_within_a_few_prompts() -> None:
+    """Counts from before a shift must not distort the estimate after it."""
     for seed in range(20):
         rng = random.Random(seed)
         group = Group(sets=SETS, experts=EXPERTS)
-        before, after = likes(rng), likes(rng)
+        before, after = random_popularity(rng), random_popularity(rng)
         for _ in range(40):
             group.now += 36 * MS
             read_prompt(group, before, rng)
             group.sample()
-        assert group.found.shift_count == 0, seed
-        assert error(group.loads(), before) < 0.05, seed
+        assert group.estimator.shift_count == 0, seed
+        assert error(group.loads_by_set(), before) < 0.05, seed
         for _ in range(3):
             group.now += 36 * MS
             read_prompt(group, after, rng)
             group.sample()
-        assert group.found.shift_count >= 1, seed
-        assert error(group.loads(), after) < 0.06, seed
+        assert group.estimator.shift_count >= 1, seed
+        assert error(group.loads_by_set(), after) < 0.06, seed
 
 
-def test_what_prompts_ask_for_by_themselves_is_no_shift() -> None:
-    """Nor is a long time without any."""
+def test_variation_between_prompts_is_no_shift() -> None:
+    """Variation between prompts, or a pause, must not count as a shift."""
     rng = random.Random(5)
     group = Group(sets=SETS, experts=EXPERTS)
-    common = likes(rng)
-    for turn in range(200):
-        group.now += (2000 if turn % 50 == 0 else 36) * MS
+    common = random_popularity(rng)
+    for prompt_number in range(200):
+        group.now += (2000 if prompt_number % 50 == 0 else 36) * MS
         read_prompt(group, common, rng)
         group.sample()
-    assert group.found.shift_count == 0
+    assert group.estimator.shift_count == 0
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -1,4 +1,4 @@
-"""Plans are fenced: a planner that was paused changes nothing (P1, P8)."""
+"""Map plans are fenced: a paused planner changes nothing (P1, P8)."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 def grant(holder: str, prior: int) -> records.LeaseGrant:
-    """Return a request for the group's lease."""
+    """Return a record that acquires the group's lease."""
     return records.LeaseGrant(
         id=f'{holder}-{prior}',
         author=holder,
@@ -38,7 +38,7 @@
 
 
 def plan(name: str, token: int) -> records.MapPlan:
-    """Return a plan under ``token``."""
+    """Return a map plan with the fencing token ``token``."""
     return records.MapPlan(
         id=name,
         author=name,
@@ -62,7 +62,7 @@
 
 
 def test_a_paused_planners_plan_is_ignored() -> None:
-    """Its lease lapsed and was granted to another while it slept."""
+    """A plan made under an expired lease must not take effect."""
     state = state_module.FleetState()
     verdicts = feed(
         state,
@@ -81,7 +81,7 @@
 
 
 def test_racing_planners_have_one_winner() -> None:
-    """Both asked for the lease after one prior token."""
+    """Two requests for a lease with the same prior token must not both win."""
     state = state_module.FleetState()
     verdicts = feed(
         state, grant('entry-a', 0), grant('entry-b', 0), plan('b', 0)
@@ -94,7 +94,7 @@
 
 
 def test_a_plan_whose_append_answer_was_lost_counts_once() -> None:
-    """Both copies land; the version stays that of the first."""
+    """A plan that is appended twice must not get a second version."""
     state = state_module.FleetState()
     feed(state, grant('entry-a', 0), plan('a', 1))
     version = state.maps['group-0'].version
@@ -104,7 +104,7 @@
 
 
 def test_fencing_guard_removed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the token check the paused planner's plan takes over."""
+    """Without the token check a paused planner's plan takes effect."""
     monkeypatch.setattr(
         state_module.FleetState,
         'lease_token',
@@ -115,22 +115,22 @@
     assert state.maps['group-0'].record_id == 'a'
 
 
-def test_a_lease_is_asked_for_only_once_it_lapsed() -> None:
-    """The time is counted from when this process saw the grant."""
+def test_a_lease_is_requested_only_after_it_has_expired() -> None:
+    """A lease must not be requested before it can have expired."""
     state = state_module.FleetState()
     feed(state, grant('entry-a', 0))
-    other = lease_client.LeaseClient(holder='entry-b')
+    client = lease_client.LeaseClient(holder='entry-b')
     ttl = 1000 * sim_module.MS
     now = sim_module.START
-    assert other.request(state, LEASE, ttl, 'x', now) is None
-    assert other.request(state, LEASE, ttl, 'x', now + ttl / 2) is None
-    asked = other.request(state, LEASE, ttl, 'x', now + ttl)
-    assert asked is not None
-    assert asked.prior_token == 1
+    assert client.request(state, LEASE, ttl, 'x', now) is None
+    assert client.request(state, LEASE, ttl, 'x', now + ttl / 2) is None
+    request = client.request(state, LEASE, ttl, 'x', now + ttl)
+    assert request is not None
+    assert request.prior_token == 1
 
 
-def test_duties_plan_the_first_map_and_then_follow_popularity() -> None:
-    """Lease, first plan, no plan while even, a plan once skewed."""
+def test_the_first_map_is_planned_and_later_maps_follow_demand() -> None:
+    """A map must be planned first, and later only when load is skewed."""
     document = fleets.document(groups=[GROUP])
     state = state_module.FleetState()
     state.set_document(1, document, fleet.Fleet.model_validate(document))
--- a/tests/unit/test_switch.py
+++ b/tests/unit/test_switch.py
@@ -1,4 +1,4 @@
-"""Single steps of a change of map, without random faults."""
+"""Tests of single transitions of the map switch."""
 
 import dataclasses
 import datetime
@@ -26,8 +26,8 @@
 )
 
 
-class Machine:
-    """A switch of a group of one rank, and the time."""
+class SwitchRig:
+    """A map switch for a group of one rank, with its clock."""
 
     def __init__(self) -> None:
         self.now = clock.EPOCH
@@ -35,17 +35,17 @@
             group='g', epoch=1, size=1, first_token=100
         )
 
-    def tell(
+    def report(
         self, age: datetime.timedelta = FRESH, **fields: object
     ) -> list[map_switch.Action]:
-        """Give the switch a report."""
+        """Pass a report to the switch; return its actions."""
         report = dataclasses.replace(REPORT, age=age, **fields)  # type: ignore[arg-type]
         return self.switch.on_report(report, self.now)
 
     def accept(
         self, actions: list[map_switch.Action]
     ) -> list[map_switch.Action]:
-        """Let the rank accept the only order; return what follows."""
+        """Accept the only order; return the actions that follow."""
         (order,) = actions
         assert isinstance(order, rank_protocol.Order)
         return self.switch.on_answer(
@@ -53,66 +53,63 @@
         )
 
     def prepared(self, age: datetime.timedelta) -> list[map_switch.Action]:
-        """Begin a round, and tell by a report that its copies are made."""
-        self.tell(age)
+        """Start a round and report that the rank has prepared the map."""
+        self.report(age)
         started = self.switch.start_round(NEW_MAP, self.now)
         assert not self.accept(started)
         self.now += 400 * MS
-        return self.tell(age, prepared=self.switch.token)
+        return self.report(age, prepared=self.switch.token)
 
 
 def step_of(actions: list[map_switch.Action]) -> int:
-    """Return the pass that an order names."""
+    """Return the pass in the only order."""
     (order,) = actions
     assert isinstance(order, rank_protocol.Order)
     return order.step
 
 
-def test_the_very_next_pass_is_held_where_reports_are_fresh() -> None:
-    """Load pattern: demand has shifted, and passes take a tenth second.
-
-    With lagging reports the switch came six passes later.
-    """
-    machine = Machine()
-    held = machine.prepared(FRESH)
+def test_the_next_pass_is_held_if_reports_are_fresh() -> None:
+    """With fresh reports a switch must not be delayed by several passes."""
+    rig = SwitchRig()
+    held = rig.prepared(FRESH)
     assert step_of(held) == REPORT.step + 1
-    refused = machine.switch.on_answer(
+    refused = rig.switch.on_answer(
         held[0],  # type: ignore[arg-type]
         rank_protocol.Answer.REFUSED,
-        machine.now,
+        rig.now,
     )
     assert step_of(refused) > REPORT.step + 1
-    lagging = Machine().prepared(rank_protocol.MAX_REPORT_AGE)
+    lagging = SwitchRig().prepared(rank_protocol.MAX_REPORT_AGE)
     assert step_of(lagging) >= REPORT.step + map_switch.HOLD_LEAD_PASSES
 
 
-def test_an_old_word_of_a_hold_is_no_reason_to_undo() -> None:
-    """It was asked for before the pass was let go."""
-    machine = Machine()
-    freeze = machine.tell(held=11)
-    assert machine.switch.state is map_switch.State.FENCE
-    machine.accept(freeze)
-    machine.now += 20 * MS
-    asks = machine.switch.tick(machine.now)
+def test_an_outdated_report_of_a_hold_starts_no_rollback() -> None:
+    """A hold reported from before its release must not start a rollback."""
+    rig = SwitchRig()
+    freeze = rig.report(held=11)
+    assert rig.switch.state is map_switch.State.FENCE
+    rig.accept(freeze)
+    rig.now += 20 * MS
+    asks = rig.switch.tick(rig.now)
     assert asks == [map_switch.RequestReport(rank=0)]
-    release = machine.tell(held=11)
-    machine.accept(release)
-    assert machine.switch.is_ready
-    machine.now += 2 * MS
-    assert not machine.tell(held=11)
-    assert machine.switch.is_ready
-    machine.now += 20 * MS
-    assert machine.tell(held=12)
-    assert machine.switch.state is map_switch.State.FENCE
-
-
-def test_reports_from_before_the_freeze_are_not_believed() -> None:
-    """Fresh ones are at once, lagging ones only when they are due."""
-    machine = Machine()
-    machine.accept(machine.tell(held=11))
-    machine.now += 20 * MS
-    machine.switch.tick(machine.now)
-    assert not machine.tell(50 * MS, held=11)
-    assert machine.switch.state is map_switch.State.AWAIT_REPORTS
-    assert machine.tell(FRESH, held=11)
-    assert machine.switch.state is map_switch.State.RELEASE
+    release = rig.report(held=11)
+    rig.accept(release)
+    assert rig.switch.is_ready
+    rig.now += 2 * MS
+    assert not rig.report(held=11)
+    assert rig.switch.is_ready
+    rig.now += 20 * MS
+    assert rig.report(held=12)
+    assert rig.switch.state is map_switch.State.FENCE
+
+
+def test_reports_from_before_a_rollback_are_ignored() -> None:
+    """A rollback must not rely on reports that may be older than it."""
+    rig = SwitchRig()
+    rig.accept(rig.report(held=11))
+    rig.now += 20 * MS
+    rig.switch.tick(rig.now)
+    assert not rig.report(50 * MS, held=11)
+    assert rig.switch.state is map_switch.State.AWAIT_REPORTS
+    assert rig.report(FRESH, held=11)
+    assert rig.switch.state is map_switch.State.RELEASE
--- a/tests/unit/test_switch_histories.py
+++ b/tests/unit/test_switch_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of map changes: no pass begins with two maps."""
+"""Random histories of map switches: no pass begins with two maps."""
 
 import dataclasses
 import datetime
@@ -11,34 +11,34 @@
 
 pytestmark = pytest.mark.explores
 
-FAULTY = datetime.timedelta(seconds=60)
-QUIET = datetime.timedelta(seconds=30)
+FAULTY_DURATION = datetime.timedelta(seconds=60)
+QUIET_DURATION = datetime.timedelta(seconds=30)
 
 
-def play(
+def run_with_faults(
     seed: int, switch_class: type[map_switch.MapSwitch] = map_switch.MapSwitch
 ) -> rank_world.World:
-    """Run a world with faults."""
+    """Run a simulated group with random faults."""
     world = rank_world.World(seed=seed, switch_class=switch_class)
-    world.run(FAULTY)
+    world.run(FAULTY_DURATION)
     return world
 
 
 def test_no_pass_begins_with_two_maps(seeds: range) -> None:
-    """Whatever is lost, late or killed; and the group goes on after."""
+    """Faults must not mix maps in a pass, nor block later switches."""
     for seed in seeds:
-        world = play(seed)
+        world = run_with_faults(seed)
         world.faults = rank_world.QUIET
-        world.run(QUIET / 2)
+        world.run(QUIET_DURATION / 2)
         passes = world.passes
         switched = world.switched
-        world.run(QUIET / 2)
+        world.run(QUIET_DURATION / 2)
         assert world.passes > passes + 50, seed
         assert world.switched > switched, seed
 
 
 class WithoutHold(map_switch.MapSwitch):
-    """Arms ranks for a pass that nothing holds."""
+    """Arms ranks without holding the pass."""
 
     def _hold(self, now: datetime.datetime) -> list[map_switch.Action]:
         self._enter(map_switch.State.HOLD, now)
@@ -54,56 +54,60 @@
         answer: rank_protocol.Answer,
         now: datetime.datetime,
     ) -> list[map_switch.Action]:
-        """Take an answer."""
+        """Handle an answer."""
         accepted = answer is rank_protocol.Answer.ACCEPTED
         if self.state is map_switch.State.ARM and accepted:
-            return self._all_accepted(now)
+            return self._on_all_accepted(now)
         return super().on_answer(order, answer, now)
 
 
-class WithoutFreeze(map_switch.MapSwitch):
-    """Undoes a round while its orders may still be carried out."""
+class WithoutFence(map_switch.MapSwitch):
+    """Rolls back a round while its orders may still take effect."""
 
     def roll_back(self, now: datetime.datetime) -> list[map_switch.Action]:
-        """Undo a round."""
+        """Roll back a round."""
         self._enter(map_switch.State.AWAIT_REPORTS, now)
-        self._settled_at = now
+        self._answered_at = now
         return []
 
 
-class WithoutPatience(map_switch.MapSwitch):
-    """Trusts reports that are older than the freeze."""
+class WithoutReportAge(map_switch.MapSwitch):
+    """Trusts reports from before the rollback."""
 
-    def _shows_answers(
+    def _is_after_last_answers(
         self, report: rank_protocol.Report, now: datetime.datetime
     ) -> bool:
         return True
 
-    def _too_early(self, now: datetime.datetime) -> bool:
+    def _reports_may_lag(self, now: datetime.datetime) -> bool:
         return False
 
 
-class ForgottenArms(map_switch.MapSwitch):
-    """Releases a held pass without disarming."""
+class WithoutDisarm(map_switch.MapSwitch):
+    """Releases a held pass without disarming ranks."""
 
-    def _looked(self, now: datetime.datetime) -> list[map_switch.Action]:
-        for rank, report in list(self._fresh.items()):
-            self._fresh[rank] = dataclasses.replace(report, armed=None)
-        return super()._looked(now)
+    def _on_rollback_reports(
+        self, now: datetime.datetime
+    ) -> list[map_switch.Action]:
+        for rank, report in list(self._reports.items()):
+            self._reports[rank] = dataclasses.replace(report, armed=None)
+        return super()._on_rollback_reports(now)
 
 
 @pytest.mark.parametrize(
-    'guardless',
+    'switch_class',
     [
         WithoutHold,
         EarlyRelease,
-        WithoutFreeze,
-        WithoutPatience,
-        ForgottenArms,
+        WithoutFence,
+        WithoutReportAge,
+        WithoutDisarm,
     ],
 )
-def test_each_guard_is_needed(guardless: type[map_switch.MapSwitch]) -> None:
-    """Without it some history begins a pass with two maps."""
+def test_each_guard_is_needed(
+    switch_class: type[map_switch.MapSwitch],
+) -> None:
+    """Without the guard some history must begin a pass with two maps."""
     with pytest.raises(rank_world.Violation):
         for seed in range(300):
-            play(seed, guardless)
+            run_with_faults(seed, switch_class)
