--- a/src/aspenfold/_internal/admission/admit_all.py
+++ b/src/aspenfold/_internal/admission/admit_all.py
@@ -1,4 +1,4 @@
-"""The baseline that admits everything."""
+"""Baseline admission policy that accepts every request."""
 
 import datetime
 
@@ -10,7 +10,7 @@
 
 @registry.register(policy.KIND, 'open')
 class AdmitAll:
-    """Refuses nothing."""
+    """Accepts every request."""
 
     def check(
         self,
--- a/src/aspenfold/_internal/admission/lanes.py
+++ b/src/aspenfold/_internal/admission/lanes.py
@@ -1,4 +1,4 @@
-"""Priority lanes with reserved room, and deadline-aware refusal."""
+"""Admission policy with priority lanes, reserved slots and deadlines."""
 
 import datetime
 import math
@@ -13,13 +13,14 @@
     fleet.Priority.GENERATION: 2.0,
     fleet.Priority.BATCH: 0.8,
 }
-"""Mean pressure above which a lane is closed."""
+"""Mean pressure from which a lane refuses requests."""
 
 RESERVED_DEVIATIONS = 3.0
-"""Standard deviations of interactive work that room is kept for."""
+"""Slots are reserved for this many standard deviations of interactive load."""
 
 MIN_RESERVED_FRACTION = 0.02
-"""Share of capacity kept free while there are interactive calls."""
+"""Fraction of the capacity that is always reserved while there are
+interactive calls."""
 
 MIN_RETRY_AFTER = datetime.timedelta(seconds=1)
 MAX_RETRY_AFTER = datetime.timedelta(seconds=30)
@@ -27,7 +28,7 @@
 
 @registry.register(policy.KIND, 'lanes')
 class PriorityLanes:
-    """Closes lanes from the least urgent up as pressure grows."""
+    """Refuses less urgent priorities first as pressure grows."""
 
     def check(
         self,
@@ -35,12 +36,12 @@
         remaining: datetime.timedelta,
         pressure: policy.Pressure,
     ) -> exceptions.Failure | None:
-        """Refuse for a closed lane or a wait beyond the deadline."""
+        """Return a failure if the lane is full or the wait is too long."""
         if pressure.mean >= _max_pressure(priority, pressure):
             return _overloaded(f'the {priority.value} lane is full', pressure)
-        if _estimated_wait(pressure) >= remaining:
+        if _queue_delay(pressure) >= remaining:
             return _overloaded(
-                'the estimated wait passes the deadline', pressure
+                'the estimated wait exceeds the deadline', pressure
             )
         return None
 
@@ -48,32 +49,32 @@
 def _max_pressure(
     priority: fleet.Priority, pressure: policy.Pressure
 ) -> float:
-    """Return the pressure at which a lane closes.
+    """Return the mean pressure from which a lane refuses requests.
 
-    While there are interactive calls, the other lanes leave room for a
-    burst of them.  The work of independent calls varies by the square
-    root of its mean, so the room is small where capacity is large.
-    Without interactive calls nothing is kept free.
+    While there are interactive calls, the other lanes leave a fraction of
+    the capacity free for a burst of them.  The load of independent calls
+    varies by the square root of its mean, so this fraction is smaller for a
+    larger capacity.
     """
     bound = MAX_LANE_PRESSURE[priority]
     if priority is fleet.Priority.INTERACTIVE or not pressure.urgent:
         return bound
-    room = RESERVED_DEVIATIONS * math.sqrt(
+    reserved = RESERVED_DEVIATIONS * math.sqrt(
         pressure.urgent / max(1, pressure.capacity)
     )
-    return min(bound, 1.0 - MIN_RESERVED_FRACTION - room)
+    return min(bound, 1.0 - MIN_RESERVED_FRACTION - reserved)
 
 
-def _estimated_wait(pressure: policy.Pressure) -> datetime.timedelta:
+def _queue_delay(pressure: policy.Pressure) -> datetime.timedelta:
     queued = max(0.0, pressure.mean - 1.0)
     return pressure.service_time * queued
 
 
 def _overloaded(detail: str, pressure: policy.Pressure) -> exceptions.Failure:
-    wait = _estimated_wait(pressure)
+    wait = _queue_delay(pressure)
     return exceptions.Failure(
         code=exceptions.Code.OVERLOADED,
         detail=detail,
-        remedy='come back after Retry-After, or allow a longer deadline',
+        remedy='retry after Retry-After, or allow a longer deadline',
         retry_after=min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait)),
     )
--- a/src/aspenfold/_internal/admission/limiter.py
+++ b/src/aspenfold/_internal/admission/limiter.py
@@ -1,7 +1,7 @@
-"""Limits of organisations, held over all entries without a coordinator.
+"""Limits of organisations, enforced by all entries without a coordinator.
 
-Each entry holds a share of every organisation's limit.  Shares add up
-to at most one, so the limit holds whatever the entries see.
+Each entry enforces its share of every organisation's limit.  The shares add
+up to at most one, so the total stays within the limit.
 """
 
 import dataclasses
@@ -14,7 +14,10 @@
 
 
 class TokenBucket:
-    """A rate with a burst; refilled by the time that is passed in."""
+    """Token bucket with ``rate`` tokens per second, at most ``burst``.
+
+    The caller passes in the current time.
+    """
 
     def __init__(
         self, *, rate: float, burst: float, now: datetime.datetime
@@ -25,13 +28,13 @@
         self._updated = now
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Change the rate; what is saved above the new burst is lost."""
+        """Change the rate and burst; excess tokens are discarded."""
         self._rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def take(self, now: datetime.datetime) -> datetime.timedelta | None:
-        """Take a token: None if there was one, else the wait for it."""
+        """Take a token and return None, or return the wait for one."""
         elapsed = max(0.0, (now - self._updated) / ONE_SECOND)
         self._updated = max(now, self._updated)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
@@ -50,7 +53,7 @@
 
 
 class Limiter:
-    """Rate and in-flight limits of every organisation at this entry."""
+    """Enforces the rate and in-flight limits of organisations at an entry."""
 
     def __init__(self) -> None:
         self._usage: dict[str, _Usage] = {}
@@ -63,35 +66,35 @@
     def admit(
         self, organisation: fleet.Organisation, now: datetime.datetime
     ) -> exceptions.Failure | None:
-        """Count a request, or return why it is refused."""
-        usage = self._usage_of(organisation, now)
+        """Count a request and return None, or return why it is refused."""
+        usage = self._updated_usage(organisation, now)
         allowed = max(1, int(usage.limits.in_flight * usage.share))
         if usage.in_flight >= allowed:
             return exceptions.Failure(
                 code=exceptions.Code.TOO_MANY_IN_FLIGHT,
                 detail=f'{organisation.name} has {usage.in_flight} requests '
-                'in flight here',
-                remedy='wait for answers, or ask for a higher limit',
+                'in flight at this entry, its limit here',
+                remedy='wait for responses, or ask for a higher limit',
                 retry_after=ONE_SECOND,
             )
         wait = usage.bucket.take(now)
         if wait is not None:
             return exceptions.Failure(
                 code=exceptions.Code.RATE_LIMITED,
-                detail=f'{organisation.name} is over its rate',
-                remedy='slow down, or ask for a higher limit',
+                detail=f'{organisation.name} exceeds its request rate',
+                remedy='send fewer requests, or ask for a higher limit',
                 retry_after=wait,
             )
         usage.in_flight += 1
         return None
 
     def release(self, organisation: str) -> None:
-        """A request that was admitted has ended."""
+        """Count the end of an admitted request."""
         usage = self._usage.get(organisation)
         if usage is not None and usage.in_flight > 0:
             usage.in_flight -= 1
 
-    def _usage_of(
+    def _updated_usage(
         self, organisation: fleet.Organisation, now: datetime.datetime
     ) -> _Usage:
         usage = self._usage.get(organisation.name)
--- a/src/aspenfold/_internal/admission/policy.py
+++ b/src/aspenfold/_internal/admission/policy.py
@@ -8,16 +8,17 @@
 from aspenfold._internal.models import fleet
 
 KIND = 'admission'
+"""The plug-in kind in the registry and in a service's ``policies``."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Pressure:
-    """How busy a service is as this entry sees it.
+    """The load of a service, as known to this entry.
 
-    ``mean`` is the mean of its endpoints' pressures (1.0: all run as
-    much as they can at once); ``service_time`` a moving average.
-    ``capacity`` is how many calls they run at once, ``urgent`` the
-    share of it that interactive calls have used lately.
+    ``mean`` is the mean pressure of its endpoints; at 1.0 all slots are in
+    use.  ``capacity`` is the number of their slots, ``urgent`` the fraction
+    of them that interactive calls have used recently.  ``service_time`` is
+    a moving average.
     """
 
     mean: float
@@ -27,7 +28,7 @@
 
 
 class AdmissionPolicy(typing.Protocol):
-    """Refuses at once what cannot be answered in time."""
+    """Refuses requests that cannot be answered in time."""
 
     def check(
         self,
@@ -35,4 +36,7 @@
         remaining: datetime.timedelta,
         pressure: Pressure,
     ) -> exceptions.Failure | None:
-        """Return why the request is refused, None to admit it."""
+        """Return why a request is refused, None to accept it.
+
+        ``remaining`` is the time until the request's deadline.
+        """
--- a/src/aspenfold/_internal/expertmaps/rank_machine.py
+++ b/src/aspenfold/_internal/expertmaps/rank_machine.py
@@ -67,12 +67,12 @@
         return []
 
     def on_engine_reset(
-        self, fencing_token: int, last_granted_step: int, step: int
+        self, token: int, last_granted_step: int, step: int
     ) -> list[messages.Action]:
         """Handle a reset of the engine's grants; promise the ballot."""
         self._granted_to = max(self._granted_to, last_granted_step)
         self.step = max(self.step, step)
-        if fencing_token != self.promised_ballot:
+        if token != self.promised_ballot:
             return []
         self._is_reset = True
         return [self._message_leader(Kind.PROMISED)]
@@ -84,11 +84,11 @@
         return [self._message_leader(Kind.PREPARED, version=version)]
 
     def on_engine_granted(
-        self, run: messages.StepRun, fencing_token: int
+        self, run: messages.StepRun, token: int
     ) -> list[messages.Action]:
         """Handle that the engine took a run."""
         self._granted_to = max(self._granted_to, run.last)
-        if fencing_token != self.promised_ballot:
+        if token != self.promised_ballot:
             return []
         self._runs.add(run)
         return [self._message_leader(Kind.GRANTED)]
@@ -107,8 +107,8 @@
                 self._preparing.discard(version)
             case messages.OrderGrant(run=run):
                 self._ordered_runs.discard(run)
-            case messages.OrderReset(fencing=fencing_token):
-                if fencing_token == self.promised_ballot:
+            case messages.OrderReset(fencing=token):
+                if token == self.promised_ballot:
                     return self._request_higher_ballot()
         return []
 
--- a/src/aspenfold/_internal/membership/__init__.py
+++ b/src/aspenfold/_internal/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoints there are and what is known of each; no I/O here."""
+"""The known endpoints and their state; nothing here does I/O."""
--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one endpoint."""
+"""State of an endpoint as an entry knows it."""
 
 import dataclasses
 import datetime
@@ -9,10 +9,13 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Endpoint:
-    """One endpoint: its host, its agent's last words, our own work there.
+    """An endpoint with its host, last reported load and requests in flight.
 
-    ``reported`` and ``load`` come from the agent itself, on reports and
-    on every frame.  ``in_flight`` is what this entry has there now.
+    The agent reports ``load`` in its reports and with every frame.
+    ``last_report_at`` is the time of the last one, None if the agent has
+    not reported or the report is no longer valid.  ``in_flight`` is the
+    number of this entry's own calls there, ``in_flight_at_report`` that
+    number at the last report.  ``failures`` are consecutive.
     """
 
     host: hosts.Host
@@ -29,33 +32,35 @@
 
     @property
     def name(self) -> str:
-        """The endpoint's name, which is its host's."""
+        """The name of the endpoint's host."""
         return self.host.name
 
     @property
     def zone(self) -> str:
-        """The availability zone of its host."""
+        """The availability zone of the endpoint's host."""
         return self.host.availability_zone
 
     @property
     def pressure(self) -> float:
-        """Work in flight over capacity; 1.0 is full.
+        """Calls in flight divided by capacity; 1.0 is full.
 
-        The agent counts all entries' work, but as of its last word; what
-        this entry has sent and got back since then is added.
+        The agent counts the calls of all entries at its last report.  The
+        change since then of this entry's own calls is added.
         """
-        seen = self.load.running + self.load.waiting
-        since = self.in_flight - self.in_flight_at_report
-        return max(seen + since, self.in_flight) / max(1, self.load.capacity)
+        reported = self.load.running + self.load.waiting
+        change = self.in_flight - self.in_flight_at_report
+        return max(reported + change, self.in_flight) / max(
+            1, self.load.capacity
+        )
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether one more call would start at once."""
+        """Whether another call would start without waiting."""
         capacity = max(1, self.load.capacity)
         return self.pressure <= 1.0 - 1.0 / capacity
 
     def update_load(self, load: frames.Load, now: datetime.datetime) -> None:
-        """Take the agent's word on its load."""
+        """Store a load that the agent reported."""
         self.load = load
         self.last_report_at = now
         self.in_flight_at_report = self.in_flight
--- a/src/aspenfold/_internal/membership/view.py
+++ b/src/aspenfold/_internal/membership/view.py
@@ -1,4 +1,8 @@
-"""Fuses the host list, the log's members and the agents' own words."""
+"""What an entry knows of all endpoints.
+
+The sources are the host list, the member records in the fleet's log and the
+agents' reports.
+"""
 
 import collections
 import datetime
@@ -10,32 +14,40 @@
 from aspenfold._internal.routing import subset
 
 MIN_REPORT_INTERVAL = datetime.timedelta(milliseconds=500)
-"""How often an entry asks an endpoint that it watches, at the most."""
+"""Shortest interval between reports of a watched endpoint."""
 
 REPORT_COST_BYTES = 400
-"""What a report and its answer cost on the wire, headers included."""
+"""Approximate traffic of requesting one report, headers included."""
 
 MAX_REPORT_BYTES_PER_SECOND = 4000
-"""What an entry may spend on reports; more endpoints are asked less."""
+"""Limit of an entry's traffic for reports.  It determines the report interval
+when there are many endpoints."""
 
-MAX_MISSED_REPORTS = 4
-"""Report intervals of silence after which an endpoint gets no new work."""
+REPORT_TIMEOUT_INTERVALS = 4
+"""Report intervals without a report after which an endpoint is not routable.
+"""
 
 OWN_ZONE_SUBSET_SIZE = 48
+"""Endpoints of a service that an entry watches in its own zone."""
+
 OTHER_ZONES_SUBSET_SIZE = 16
-"""Endpoints of one service that an entry watches and routes to."""
+"""Endpoints of a service that an entry watches in other zones."""
 
-MAX_CONSECUTIVE_FAILURES = 3
-"""Failures in a row that eject an endpoint."""
+EJECTION_FAILURES = 3
+"""Consecutive failures after which an endpoint is ejected."""
 
 EJECTION_DURATION = datetime.timedelta(seconds=5)
+"""How long an ejected endpoint gets no new requests."""
 
 MAX_EJECTED_FRACTION = 0.5
-"""At most this share of a service's endpoints is ejected at once."""
+"""Largest fraction of a service's endpoints that may be ejected at once."""
 
 
 class EndpointView:
-    """An entry's view of the endpoints, by name."""
+    """The endpoints by name, and the subset that an entry watches.
+
+    ``owner`` is the name of the entry, ``zone`` its availability zone.
+    """
 
     def __init__(self, *, owner: str, zone: str) -> None:
         self._owner = owner
@@ -48,15 +60,18 @@
         self.host_list_version = -1
 
     def endpoints(self) -> list[endpoint_module.Endpoint]:
-        """Return every endpoint, routable or not."""
+        """Return all endpoints, including those that are not watched."""
         return list(self._endpoints.values())
 
     def get(self, name: str) -> endpoint_module.Endpoint | None:
-        """Return the endpoint called ``name``."""
+        """Return the endpoint called ``name``, None if it is unknown."""
         return self._endpoints.get(name)
 
     def update_hosts(self, listing: hosts.HostList) -> None:
-        """Take a reading of the host list; older readings are ignored."""
+        """Update the endpoints from the host list.
+
+        A list that is not newer than the last one is ignored.
+        """
         if listing.version <= self.host_list_version:
             return
         self.host_list_version = listing.version
@@ -68,27 +83,31 @@
         for name in set(self._endpoints) - set(current):
             del self._endpoints[name]
         for name, host in current.items():
-            known = self._endpoints.get(name)
-            if known is None or known.host.address != host.address:
+            endpoint = self._endpoints.get(name)
+            if endpoint is None or endpoint.host.address != host.address:
                 self._endpoints[name] = endpoint_module.Endpoint(host=host)
             else:
-                known.host = host
+                endpoint.host = host
         self._choose_watched(listing)
 
     def watched(self) -> list[endpoint_module.Endpoint]:
-        """Return the bounded subset that is watched and routed to."""
-        return [known for some in self._watched.values() for known in some]
+        """Return the endpoints that this entry watches and routes to."""
+        return [
+            endpoint
+            for endpoints in self._watched.values()
+            for endpoint in endpoints
+        ]
 
     def group(self, name: str) -> list[endpoint_module.Endpoint]:
-        """Return the endpoints of a rank group."""
+        """Return the endpoints of the rank group ``name``."""
         return self._groups.get(name, [])
 
     def report_interval(self) -> datetime.timedelta:
-        """Return how long a watched endpoint may go without a report."""
+        """Return the interval at which to request reports of an endpoint."""
         return self._interval
 
     def update_members(self, members: dict[str, state_module.Member]) -> None:
-        """Take the members as the fleet stream has them."""
+        """Set the members, by name, from the fleet's log."""
         self._members = members
 
     def update_report(
@@ -98,128 +117,142 @@
         load: frames.Load,
         now: datetime.datetime,
     ) -> None:
-        """Take an agent's own report."""
-        known = self._endpoints.get(name)
-        if known is None:
+        """Update an endpoint from a report of its agent."""
+        endpoint = self._endpoints.get(name)
+        if endpoint is None:
             return
-        if known.incarnation != incarnation:
-            known.incarnation = incarnation
-            known.failures = 0
-        known.update_load(load, now)
+        if endpoint.incarnation != incarnation:
+            endpoint.incarnation = incarnation
+            endpoint.failures = 0
+        endpoint.update_load(load, now)
 
     def update_load(
         self, name: str, load: frames.Load, now: datetime.datetime
     ) -> None:
-        """Take the load that rode on a frame."""
-        known = self._endpoints.get(name)
-        if known is not None:
-            known.update_load(load, now)
+        """Update an endpoint's load from a frame of its agent."""
+        endpoint = self._endpoints.get(name)
+        if endpoint is not None:
+            endpoint.update_load(load, now)
 
     def record_success(self, name: str) -> None:
-        """An attempt there ended well."""
-        known = self._endpoints.get(name)
-        if known is not None:
-            known.failures = 0
+        """Record that an attempt at the endpoint succeeded."""
+        endpoint = self._endpoints.get(name)
+        if endpoint is not None:
+            endpoint.failures = 0
 
     def record_failure(self, name: str, now: datetime.datetime) -> None:
-        """An attempt there was lost; eject after several, with a floor."""
-        known = self._endpoints.get(name)
-        if known is None:
+        """Record that an attempt at the endpoint was lost.
+
+        Ejects the endpoint after several consecutive failures, unless too
+        many endpoints of its service are ejected already.
+        """
+        endpoint = self._endpoints.get(name)
+        if endpoint is None:
             return
-        known.failures += 1
-        if known.failures < MAX_CONSECUTIVE_FAILURES or not self._may_eject(
-            known, now
+        endpoint.failures += 1
+        if endpoint.failures < EJECTION_FAILURES or not self._may_eject(
+            endpoint, now
         ):
             return
-        known.ejected_until = now + EJECTION_DURATION
-        known.failures = 0
+        endpoint.ejected_until = now + EJECTION_DURATION
+        endpoint.failures = 0
 
     def invalidate_report(self, name: str) -> None:
-        """The agent is gone or a new one: hear it before using it."""
-        known = self._endpoints.get(name)
-        if known is not None:
-            known.last_report_at = None
+        """Make the endpoint unroutable until its agent reports again."""
+        endpoint = self._endpoints.get(name)
+        if endpoint is not None:
+            endpoint.last_report_at = None
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether any source says that the endpoint leaves."""
-        known = self._endpoints.get(name)
-        return known is None or self._leaving(known)
+        """Return whether the endpoint is leaving or unknown."""
+        endpoint = self._endpoints.get(name)
+        return endpoint is None or self._leaving(endpoint)
 
     def drain_order(self, name: str, newest: int) -> frames.DrainOrder:
-        """Return what the endpoint's agent is to be told.
+        """Return the drain order for the endpoint's agent.
 
-        ``newest`` is the offset of the newest record that was folded.
+        ``newest`` is the offset of the newest applied record of the log.
         """
         member = self._members.get(name)
-        known = self._endpoints.get(name)
+        endpoint = self._endpoints.get(name)
         return frames.DrainOrder(
             drain=member is not None,
             token=member.token if member else newest,
-            leaving=known is not None
-            and known.host.state is hosts.HostState.LEAVING,
+            leaving=endpoint is not None
+            and endpoint.host.state is hosts.HostState.LEAVING,
         )
 
     def routable(
         self, service: str, now: datetime.datetime
     ) -> list[endpoint_module.Endpoint]:
-        """Return the endpoints of ``service`` that may get new work."""
-        oldest = now - self._interval * MAX_MISSED_REPORTS
+        """Return the endpoints of ``service`` that may get new requests."""
+        min_report_at = now - self._interval * REPORT_TIMEOUT_INTERVALS
         return [
-            known
-            for known in self._watched.get(service, ())
-            if known.last_report_at is not None
-            and known.last_report_at >= oldest
-            and (known.ejected_until is None or known.ejected_until <= now)
-            and not self._leaving(known)
+            endpoint
+            for endpoint in self._watched.get(service, ())
+            if endpoint.last_report_at is not None
+            and endpoint.last_report_at >= min_report_at
+            and (
+                endpoint.ejected_until is None or endpoint.ejected_until <= now
+            )
+            and not self._leaving(endpoint)
         ]
 
-    def _leaving(self, known: endpoint_module.Endpoint) -> bool:
+    def _leaving(self, endpoint: endpoint_module.Endpoint) -> bool:
         return (
-            known.load.draining
-            or known.host.state is hosts.HostState.LEAVING
-            or known.name in self._members
+            endpoint.load.draining
+            or endpoint.host.state is hosts.HostState.LEAVING
+            or endpoint.name in self._members
         )
 
     def _may_eject(
-        self, known: endpoint_module.Endpoint, now: datetime.datetime
+        self, endpoint: endpoint_module.Endpoint, now: datetime.datetime
     ) -> bool:
-        peers = self._watched.get(known.host.service, [])
-        out = sum(
-            other.ejected_until is not None and other.ejected_until > now
-            for other in peers
+        peers = self._watched.get(endpoint.host.service, [])
+        ejected = sum(
+            peer.ejected_until is not None and peer.ejected_until > now
+            for peer in peers
         )
-        return (out + 1) <= len(peers) * MAX_EJECTED_FRACTION
+        return (ejected + 1) <= len(peers) * MAX_EJECTED_FRACTION
 
     def _choose_watched(self, listing: hosts.HostList) -> None:
-        """Choose the subset anew; only a changed host list does so."""
-        entries = [
+        """Choose the watched endpoints, and derive the report interval."""
+        own_zone_entries = [
             host.name
             for host in listing.hosts
             if host.role is hosts.Role.ENTRY
             and host.availability_zone == self._zone
         ]
-        everyone = [
+        all_entries = [
             host.name
             for host in listing.hosts
             if host.role is hosts.Role.ENTRY
         ]
-        own: dict[str, list[str]] = collections.defaultdict(list)
-        other: dict[str, list[str]] = collections.defaultdict(list)
+        own_zone: dict[str, list[str]] = collections.defaultdict(list)
+        other_zones: dict[str, list[str]] = collections.defaultdict(list)
         self._groups = collections.defaultdict(list)
-        for known in self._endpoints.values():
-            side = own if known.zone == self._zone else other
-            side[known.host.service].append(known.name)
-            if known.host.group:
-                self._groups[known.host.group].append(known)
+        for endpoint in self._endpoints.values():
+            by_service = (
+                own_zone if endpoint.zone == self._zone else other_zones
+            )
+            by_service[endpoint.host.service].append(endpoint.name)
+            if endpoint.host.group:
+                self._groups[endpoint.host.group].append(endpoint)
         self._watched = {}
-        for service in {*own, *other}:
+        for service in {*own_zone, *other_zones}:
             names = subset.assign(
-                self._owner, entries, own[service], OWN_ZONE_SUBSET_SIZE
+                self._owner,
+                own_zone_entries,
+                own_zone[service],
+                OWN_ZONE_SUBSET_SIZE,
             ) + subset.assign(
-                self._owner, everyone, other[service], OTHER_ZONES_SUBSET_SIZE
+                self._owner,
+                all_entries,
+                other_zones[service],
+                OTHER_ZONES_SUBSET_SIZE,
             )
             self._watched[service] = [self._endpoints[n] for n in names]
-        count = sum(len(some) for some in self._watched.values())
+        count = sum(len(endpoints) for endpoints in self._watched.values())
         seconds = count * REPORT_COST_BYTES / MAX_REPORT_BYTES_PER_SECOND
         self._interval = max(
             MIN_REPORT_INTERVAL, datetime.timedelta(seconds=seconds)
--- a/src/aspenfold/_internal/retries/__init__.py
+++ b/src/aspenfold/_internal/retries/__init__.py
@@ -1,4 +1,7 @@
-"""When an attempt may be made again; registers the retry policies."""
+"""Retry policies, which decide whether an attempt is repeated.
+
+Importing this package registers them.
+"""
 
 from aspenfold._internal.retries import budget as _budget
 from aspenfold._internal.retries import naive as _naive
--- a/src/aspenfold/_internal/retries/budget.py
+++ b/src/aspenfold/_internal/retries/budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of traffic, with jittered exponential waits."""
+"""Retry policy with a budget in proportion to traffic and jittered backoff."""
 
 import datetime
 import random
@@ -7,32 +7,36 @@
 from aspenfold._internal.retries import policy
 
 RETRIES_PER_REQUEST = 0.08
-"""Retries earned by each first attempt."""
+"""Retries that each first attempt adds to the budget."""
 
 MAX_SAVED_RETRIES = 10.0
-"""Retries that may be saved up, so that light traffic can retry too."""
+"""Largest budget; allows retries when there is little traffic."""
 
 MAX_ATTEMPTS = 4
 
 BASE_DELAY = datetime.timedelta(milliseconds=25)
+"""Maximum delay of the first retry; it doubles with each attempt."""
 
 
 @registry.register(policy.KIND, 'budget')
 class RetryBudget:
-    """A token bucket filled by first attempts, emptied by retries."""
+    """Token bucket that first attempts fill and retries empty."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self._tokens = MAX_SAVED_RETRIES
 
     def record_request(self) -> None:
-        """Earn a share of a retry."""
+        """Count a first attempt, which adds to the budget."""
         self._tokens = min(
             MAX_SAVED_RETRIES, self._tokens + RETRIES_PER_REQUEST
         )
 
     def retry_delay(self, attempt: int) -> datetime.timedelta | None:
-        """Spend a retry if there is one; full jitter on the wait."""
+        """Return a random delay and take a retry from the budget.
+
+        Return None if the budget or the attempts are used up.
+        """
         if attempt > MAX_ATTEMPTS or self._tokens < 1:
             return None
         self._tokens -= 1
--- a/src/aspenfold/_internal/retries/naive.py
+++ b/src/aspenfold/_internal/retries/naive.py
@@ -1,4 +1,4 @@
-"""The naive baseline: retry at once, a fixed number of times."""
+"""Baseline retry policy that retries at once, a fixed number of times."""
 
 import datetime
 import random
@@ -11,16 +11,16 @@
 
 @registry.register(policy.KIND, 'naive')
 class NaiveRetries:
-    """Retries without a budget."""
+    """Retries without a budget or delays."""
 
     def __init__(self, *, rng: random.Random) -> None:
         pass
 
     def record_request(self) -> None:
-        """Nothing is counted."""
+        """Do nothing."""
 
     def retry_delay(self, attempt: int) -> datetime.timedelta | None:
-        """Return no wait until the attempts are used up."""
+        """Return a zero delay, or None if the attempts are used up."""
         if attempt > MAX_ATTEMPTS:
             return None
         return datetime.timedelta(0)
--- a/src/aspenfold/_internal/retries/policy.py
+++ b/src/aspenfold/_internal/retries/policy.py
@@ -5,10 +5,11 @@
 import typing
 
 KIND = 'retry'
+"""The plug-in kind in the registry and in a service's ``policies``."""
 
 
 class RetryPolicy(typing.Protocol):
-    """Decides whether a safe retry is made and how long to wait."""
+    """Decides whether and when to repeat an attempt that may be repeated."""
 
     def __init__(self, *, rng: random.Random) -> None: ...
 
@@ -16,4 +17,4 @@
         """Count a first attempt."""
 
     def retry_delay(self, attempt: int) -> datetime.timedelta | None:
-        """Return the wait before attempt ``attempt``, None for no retry."""
+        """Return the delay before attempt ``attempt``, None for no retry."""
--- a/src/aspenfold/_internal/retries/shared_budget.py
+++ b/src/aspenfold/_internal/retries/shared_budget.py
@@ -1,33 +1,35 @@
-"""A retry budget that all entries share without asking each other.
+"""Retry budget that gateways share without communication.
 
-The platform counts, in every sliding window and over all entries, the
-requests that endpoints got beyond the first of each.  Each entry keeps
-to its part by itself, so that the sum holds whatever the others do.
+The platform limits the attempts after the first of each request, over all
+gateways and in every sliding window.  Each gateway stays within its own part
+of the limit, so the total does too.
 """
 
 import dataclasses
 
 ASSUMED_GATEWAYS = 40
-"""Entries among which the fixed part is dealt.  The largest deployment
-known has 34 with its spares; a restart begins with an empty bucket."""
+"""Number of gateways, or more, among which the fixed part of the limit is
+divided."""
 
 USED_RATIO_FRACTION = 0.8
-"""Part of the allowed ratio that is used: requests of the window before
-count too, and load may fall within a window."""
+"""Fraction of the allowed ratio that is used.  The rest covers tokens that
+were earned before a window, since load may fall."""
 
 MIN_BURST = 1.0
+"""Lower bound of the largest number of saved tokens."""
 
 INITIAL_TOKENS = 1.0
-"""Attempts that a new process may make before any request has filled
-its bucket.  One, since many processes may start in one window."""
+"""Tokens of a new process; few, since many processes may start in one
+window."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class SharedBudget:
-    """A token bucket: requests fill it, attempts after the first empty it.
+    """Token bucket that requests fill and attempts after the first empty.
 
-    ``ratio`` and ``slack`` are the platform's bounds: in any window,
-    attempts after the first stay under ratio x requests + slack.
+    ``ratio`` and ``slack`` are the platform's limit: in any window there
+    may be ratio x requests + slack attempts after the first, over all
+    gateways.
     """
 
     ratio: float
@@ -36,21 +38,21 @@
 
     @property
     def burst(self) -> float:
-        """Most tokens that may be saved up."""
+        """Largest number of saved tokens."""
         return max(MIN_BURST, self.slack / ASSUMED_GATEWAYS)
 
     @property
     def available(self) -> float:
-        """Attempts that may be made now."""
+        """Current number of tokens."""
         return self._tokens
 
     def record_request(self) -> None:
-        """Count a request of a caller."""
+        """Count a caller's request, which adds tokens."""
         earned = self.ratio * USED_RATIO_FRACTION
         self._tokens = min(self.burst, self._tokens + earned)
 
     def take(self) -> bool:
-        """Take one attempt out; False if there is none."""
+        """Take a token for an attempt; return False if there is none."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/aspenfold/_internal/routing/__init__.py
+++ b/src/aspenfold/_internal/routing/__init__.py
@@ -1,4 +1,7 @@
-"""Choosing an endpoint; importing this package registers the policies."""
+"""Routing policies, which choose an endpoint for a request.
+
+Importing this package registers them.
+"""
 
 from aspenfold._internal.routing import least_loaded as _least_loaded
 from aspenfold._internal.routing import random_choice as _random_choice
--- a/src/aspenfold/_internal/routing/least_loaded.py
+++ b/src/aspenfold/_internal/routing/least_loaded.py
@@ -1,8 +1,9 @@
-"""Sends to the endpoint with the least work of all.
+"""Routing policy that chooses the least loaded endpoint.
 
-For ranks that advance in lock-step: the fullest rank holds back all,
-so evenness goes before the availability zone.  It needs news of what
-other entries have in flight, or all would choose the same endpoint.
+It suits ranks that run in lock-step, where the most loaded rank delays all
+others, so balance matters more than the availability zone.  The pressure
+must include what other gateways have in flight; otherwise all of them would
+choose the same endpoint.
 """
 
 from collections import abc
@@ -14,7 +15,7 @@
 
 @registry.register(policy.KIND, 'least-loaded')
 class LeastLoaded:
-    """Takes the least pressure; among equals the own zone, then any."""
+    """Chooses the lowest pressure; ties prefer the own zone, then random."""
 
     def __init__(self, *, zone: str, rng: random.Random) -> None:
         self._zone = zone
@@ -26,7 +27,7 @@
         prefix: str,
         urgent: bool,
     ) -> policy.C:
-        """Return the candidate with the least work."""
+        """Return the candidate with the lowest pressure."""
         return min(
             candidates,
             key=lambda c: (
--- a/src/aspenfold/_internal/routing/policy.py
+++ b/src/aspenfold/_internal/routing/policy.py
@@ -9,30 +9,30 @@
 
 
 class Candidate(typing.Protocol):
-    """What a policy needs to know of an endpoint."""
+    """What a routing policy needs to know of an endpoint."""
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """The endpoint's name."""
 
     @property
     def zone(self) -> str:
-        """Its availability zone."""
+        """The endpoint's availability zone."""
 
     @property
     def pressure(self) -> float:
-        """Work there over capacity; 1.0 is full."""
+        """The endpoint's load divided by its capacity; 1.0 is full."""
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether one more request would start at once."""
+        """Whether another request would start without waiting."""
 
 
 C = typing.TypeVar('C', bound=Candidate)
 
 
 class RoutingPolicy(typing.Protocol):
-    """Chooses one endpoint among those that may get new work."""
+    """Chooses one of the endpoints that may get new requests."""
 
     def __init__(self, *, zone: str, rng: random.Random) -> None: ...
 
@@ -42,15 +42,15 @@
         prefix: str,
         urgent: bool,
     ) -> C:
-        """Return one of ``candidates``, which is never empty.
+        """Return one of ``candidates``, which must not be empty.
 
-        ``urgent``: the call is interactive and must not wait.
-
-        ``prefix`` is a hash of the start of the prompt; requests that
-        share it profit from one endpoint's prefix cache.
+        ``prefix`` is a hash of the start of the prompt, empty if unknown;
+        requests with the same prefix benefit from one endpoint's prefix
+        cache.  ``urgent`` is set for interactive requests, which should
+        start without waiting.
         """
 
 
 def mean_pressure(pool: abc.Sequence[C]) -> float:
-    """Return the mean of some endpoints' work over their capacity."""
+    """Return the mean pressure of the endpoints in ``pool``."""
     return sum(c.pressure for c in pool) / len(pool)
--- a/src/aspenfold/_internal/routing/random_choice.py
+++ b/src/aspenfold/_internal/routing/random_choice.py
@@ -1,4 +1,4 @@
-"""The simplest baseline: any endpoint, whatever its load."""
+"""Baseline routing policy that ignores the load."""
 
 from collections import abc
 import random
@@ -9,7 +9,7 @@
 
 @registry.register(policy.KIND, 'random')
 class RandomChoice:
-    """Chooses uniformly."""
+    """Chooses an endpoint uniformly at random."""
 
     def __init__(self, *, zone: str, rng: random.Random) -> None:
         self._rng = rng
@@ -20,5 +20,5 @@
         prefix: str,
         urgent: bool,
     ) -> policy.C:
-        """Return any candidate."""
+        """Return a random candidate."""
         return self._rng.choice(candidates)
--- a/src/aspenfold/_internal/routing/round_robin.py
+++ b/src/aspenfold/_internal/routing/round_robin.py
@@ -1,4 +1,4 @@
-"""A baseline that takes the endpoints in turn."""
+"""Baseline routing policy that takes the endpoints in turn."""
 
 from collections import abc
 import itertools
@@ -10,7 +10,7 @@
 
 @registry.register(policy.KIND, 'round-robin')
 class RoundRobin:
-    """Chooses the endpoints one after the other."""
+    """Chooses each endpoint in turn, from a random first one."""
 
     def __init__(self, *, zone: str, rng: random.Random) -> None:
         self._counter = itertools.count(rng.randrange(1 << 16))
@@ -21,5 +21,5 @@
         prefix: str,
         urgent: bool,
     ) -> policy.C:
-        """Return the next candidate in turn."""
+        """Return the next candidate."""
         return candidates[next(self._counter) % len(candidates)]
--- a/src/aspenfold/_internal/routing/subset.py
+++ b/src/aspenfold/_internal/routing/subset.py
@@ -1,4 +1,4 @@
-"""Bounded subsets of endpoints by rendezvous hashing."""
+"""Subsets of limited size, chosen by hashing."""
 
 from collections import abc
 import heapq
@@ -12,9 +12,9 @@
 
 
 def select(owner: str, names: abc.Iterable[str], size: int) -> list[str]:
-    """Return the ``size`` names that score highest for ``owner``.
+    """Return the ``size`` names with the highest scores for ``owner``.
 
-    A name that comes or goes changes at most one place in the subset.
+    Adding or removing a name changes at most one member of the subset.
     """
     return heapq.nlargest(size, names, key=lambda name: score(owner, name))
 
@@ -25,12 +25,12 @@
     names: abc.Iterable[str],
     size: int,
 ) -> list[str]:
-    """Return ``owner``'s ``size`` names so that all are dealt evenly.
+    """Return ``size`` names for ``owner``, distributed evenly over owners.
 
-    Both sides are put in hash order on one ring of names; each owner
-    begins at its own evenly spaced place and takes what follows.  Every
-    name is taken once ``size`` times owners exceeds the names, which
-    independent choices (:func:`select`) do not achieve.
+    The names form a ring in hash order.  Owners, also in hash order, start
+    at evenly spaced positions and take the ``size`` names that follow.  If
+    ``size`` times the number of owners is more than the number of names,
+    every name is assigned; :func:`select` does not ensure that.
     """
     ring = sorted(names, key=lambda name: score('', name))
     if len(ring) <= size:
--- a/src/aspenfold/_internal/routing/zone_first.py
+++ b/src/aspenfold/_internal/routing/zone_first.py
@@ -1,10 +1,10 @@
-"""Sends to the least loaded endpoint of the own zone, as long as it is even.
+"""Routing policy that prefers the least loaded endpoint of the own zone.
 
-For ranks that advance in lock-step: the fullest rank holds back all, but
-one request more or less on it changes a pass by some hundredths, while
-each request that crosses zones is paid for by the byte, and is lost when
-its zone is cut off.  Other zones take over where the own one is clearly
-fuller.  It needs news of what other entries have in flight.
+It suits ranks that run in lock-step.  There the most loaded rank delays all
+others, but a single request matters little, while requests that cross zones
+cost traffic and fail when a zone is cut off.  Other zones get requests when
+the own zone has clearly more load.  The pressure must include what other
+gateways have in flight.
 """
 
 from collections import abc
@@ -14,14 +14,14 @@
 from aspenfold._internal.routing import policy
 
 SPILL_PRESSURE_MARGIN = 0.25
-"""Other zones take over where the own one's mean pressure is higher than
-the mean of all by this.  The mean, since what is known of single endpoints
-of other zones may be a second old: some always look idle."""
+"""Difference between the mean pressure of the own zone and of all endpoints
+above which other zones get requests.  Means are compared because the load of
+single endpoints in other zones may be outdated."""
 
 
 @registry.register(policy.KIND, 'zone-first')
 class ZoneFirst:
-    """Takes the least pressure of the own zone, or of any if it is full."""
+    """Chooses the lowest pressure in the own zone, or in all if it is full."""
 
     def __init__(self, *, zone: str, rng: random.Random) -> None:
         self._zone = zone
@@ -33,18 +33,18 @@
         prefix: str,
         urgent: bool,
     ) -> policy.C:
-        """Return the own zone's least loaded candidate, or another's."""
-        own = [c for c in candidates if c.zone == self._zone]
-        if not own:
-            return self._least(candidates)
-        near = self._least(own)
-        fuller = (
-            policy.mean_pressure(own)
+        """Return the least loaded candidate of the own zone or of all."""
+        own_zone = [c for c in candidates if c.zone == self._zone]
+        if not own_zone:
+            return self._least_loaded(candidates)
+        nearest = self._least_loaded(own_zone)
+        own_zone_is_fuller = (
+            policy.mean_pressure(own_zone)
             > policy.mean_pressure(candidates) + SPILL_PRESSURE_MARGIN
         )
-        if fuller or not near.has_free_slot:
-            return self._least(candidates)
-        return near
+        if own_zone_is_fuller or not nearest.has_free_slot:
+            return self._least_loaded(candidates)
+        return nearest
 
-    def _least(self, candidates: abc.Sequence[policy.C]) -> policy.C:
+    def _least_loaded(self, candidates: abc.Sequence[policy.C]) -> policy.C:
         return min(candidates, key=lambda c: (c.pressure, self._rng.random()))
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -197,7 +197,7 @@
     st.integers(1, 40),
 )
 def test_retries_of_all_entries_stay_under_the_bound(
-    iter_drafts: list[str], entries: int
+    steps: list[str], entries: int
 ) -> None:
     """In any span of their common history."""
     slack = 90.0
@@ -207,7 +207,7 @@
     ]
     requests = 0
     retries = 0
-    for number, step in enumerate(iter_drafts):
+    for number, step in enumerate(steps):
         budget = budgets[number % entries]
         if step == 'request':
             budget.record_request()
