--- a/src/aspenfold/_internal/gateway/attempt.py
+++ b/src/aspenfold/_internal/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one endpoint, from its connection to its end."""
+"""One attempt to serve a request at an endpoint."""
 
 import asyncio
 
@@ -13,15 +13,14 @@
 from aspenfold._internal.observability import events
 
 CONNECT_TIMEOUT_S = 0.3
-"""How long to wait for an endpoint to accept: a cut link never does;
-the longest round trip between zones is 3 ms."""
+"""Timeout of a connection to an endpoint, in seconds."""
 
-MAX_WHOLE_ANSWER = 4_194_304
-"""Largest answer that is held until it is whole; as the body limit."""
+MAX_BUFFERED_BYTES = 4_194_304
+"""Size limit of a response that is buffered until it is complete."""
 
 
 class Attempt:
-    """Sends a call to one endpoint, and takes what comes back."""
+    """Sends a request to one endpoint and receives the response."""
 
     def __init__(
         self,
@@ -32,35 +31,35 @@
         endpoint: directory.Endpoint,
     ) -> None:
         self._core = core
-        self._names = core.names
+        self._names = core.header_names
         self._call = call
         self._history = history
         self._endpoint = endpoint
 
-    async def run(self) -> outcome.End:
-        """Make the attempt and keep the books of its endpoint."""
+    async def run(self) -> outcome.AttemptResult:
+        """Make the attempt and update the state of the endpoint."""
         endpoint = self._endpoint
         events.emit(
             events.Event.ATTEMPT_OPENED,
             call=self._call.id,
-            number=self._history.sent + 1,
+            number=self._history.attempts_sent + 1,
             endpoint=endpoint.name,
             pressure=round(endpoint.pressure, 2),
-            left_ms=self._call.left_ms,
+            left_ms=self._call.remaining_ms,
             plan=self._core.plan_version,
         )
         endpoint.in_flight += 1
         try:
-            async with asyncio.timeout(self._call.left.total_seconds()):
-                end = await self._connect_and_send()
+            async with asyncio.timeout(self._call.remaining.total_seconds()):
+                result = await self._connect_and_send()
         except TimeoutError:
-            end = outcome.End.TIMED_OUT
+            result = outcome.AttemptResult.TIMED_OUT
         finally:
             endpoint.in_flight -= 1
-        self._judge(end)
-        return end
+        self._update_state(result)
+        return result
 
-    async def _connect_and_send(self) -> outcome.End:
+    async def _connect_and_send(self) -> outcome.AttemptResult:
         listing = self._endpoint.listing
         try:
             connection = await http1_client.connect(
@@ -68,176 +67,194 @@
             )
         except http1_client.NotConnected:
             self._history.unreachable += 1
-            return outcome.End.NOT_SENT
+            return outcome.AttemptResult.NOT_SENT
         try:
-            return await self._send(connection)
+            return await self._send_request(connection)
         finally:
             connection.close()
 
-    async def _send(self, connection: http1_client.Connection) -> outcome.End:
+    async def _send_request(
+        self, connection: http1_client.Connection
+    ) -> outcome.AttemptResult:
         history = self._history
         request = self._call.request
         headers = self._headers()
-        earlier = history.may_have_run
-        history.sent += 1
+        may_have_run_before = history.may_have_run
+        history.attempts_sent += 1
         history.may_have_run = True
         try:
             connection.send(
                 request.method, request.target, headers, request.body
             )
-            head = await self._head(connection)
-            end = self._judge_head(head)
-            if end in outcome.NOT_RUN:
-                history.may_have_run = earlier
-                return end
-            if end is outcome.End.LOST:
-                return end
+            head = await self._read_head(connection)
+            result = self._evaluate_head(head)
+            if result in outcome.NOT_RUN:
+                history.may_have_run = may_have_run_before
+                return result
+            if result is outcome.AttemptResult.LOST:
+                return result
             if self._is_event_stream(head.status_code):
-                return await self._relay(head, connection)
-            return await self._take_whole(head, connection)
+                return await self._forward_stream(head, connection)
+            return await self._buffer_response(head, connection)
         except http1_client.ConnectionLost:
-            return outcome.End.LOST
+            return outcome.AttemptResult.LOST
 
-    async def _head(
+    async def _read_head(
         self, connection: http1_client.Connection
     ) -> http1_client.ResponseHead:
-        """Wait for the answer's head; a wait tells that a group runs."""
-        if not self._core.outages.stands(self._endpoint):
+        """Return the head of the response.
+
+        An unavailable group refuses requests quickly, so a recovery is
+        recorded if the head takes longer than that.
+        """
+        if not self._core.outages.is_unavailable(self._endpoint):
             return await connection.read_head()
         loop = asyncio.get_running_loop()
-        taken = loop.call_later(
-            outage.UNREFUSED.total_seconds(),
-            self._core.outages.runs,
+        recovery_timer = loop.call_later(
+            outage.REFUSAL_TIMEOUT.total_seconds(),
+            self._core.outages.record_recovery,
             self._call.service,
             self._endpoint.group,
         )
         try:
             return await connection.read_head()
         finally:
-            taken.cancel()
+            recovery_timer.cancel()
 
     def _headers(self) -> forwarding.Headers:
         call = self._call
-        last_id = b''
+        last_event_id = b''
         if self._history.head_delivered:
-            last_id = call.cutter.last_id
-        return self._core.forwarding.request(
+            last_event_id = call.splitter.last_id
+        return self._core.forwarding.request_headers(
             call.request,
             endpoint=self._endpoint,
             organisation=call.organisation,
-            left_ms=max(1, call.left_ms),
-            last_event_id=last_id,
+            remaining_ms=max(1, call.remaining_ms),
+            last_event_id=last_event_id,
         )
 
-    # -- the answer ------------------------------------------------------
+    def _evaluate_head(
+        self, head: http1_client.ResponseHead
+    ) -> outcome.AttemptResult:
+        """Return the result that the head implies and update the load.
 
-    def _judge_head(self, head: http1_client.ResponseHead) -> outcome.End:
-        """Return what the head alone tells: not run, lost or answered."""
+        The result is ANSWERED if the body has to be read.
+        """
         headers = list(head.headers)
         load = forwarding.header(headers, self._names.load)
         if load:
-            told = forwarding.parse_load(load)
-            if told is not None:
-                self._endpoint.take_load(told)
+            reported_load = forwarding.parse_load(load)
+            if reported_load is not None:
+                self._endpoint.update_load(reported_load)
         if head.status_code == 421:
-            return outcome.End.REPLACED
+            return outcome.AttemptResult.REPLACED
         if forwarding.header(headers, self._names.not_run):
-            return self._declined()
+            return self._refusal_result()
         echoed = forwarding.header(headers, self._names.attempt_id)
         if echoed.decode('latin-1') != self._call.id:
-            # An answer to some earlier request, come late.
-            return outcome.End.LOST
-        return outcome.End.ANSWERED
+            # The response belongs to another request.
+            return outcome.AttemptResult.LOST
+        return outcome.AttemptResult.ANSWERED
 
-    def _declined(self) -> outcome.End:
-        """Tell an endpoint that is full from one whose group is down."""
+    def _refusal_result(self) -> outcome.AttemptResult:
+        """Return the result of a refusal.
+
+        A rank that refuses although it has free slots is part of an
+        unavailable group.
+        """
         load = self._endpoint.load
         if load is None or not self._core.has_group(self._call.service):
-            return outcome.End.DECLINED
+            return outcome.AttemptResult.DECLINED
         if load.running + load.waiting < load.capacity:
-            return outcome.End.DOWN
-        return outcome.End.DECLINED
+            return outcome.AttemptResult.GROUP_UNAVAILABLE
+        return outcome.AttemptResult.DECLINED
 
     def _is_event_stream(self, status: int) -> bool:
         kind = self._history.route.kind
         return kind is plan_module.Kind.STREAMING and status == 200
 
-    async def _take_whole(
+    async def _buffer_response(
         self,
         head: http1_client.ResponseHead,
         connection: http1_client.Connection,
-    ) -> outcome.End:
-        """Hold an answer until it is whole."""
+    ) -> outcome.AttemptResult:
+        """Buffer a response until it is complete."""
         parts: list[bytes] = []
         size = 0
         while (data := await connection.read_data()) is not None:
             parts.append(data)
             size += len(data)
-            if size > MAX_WHOLE_ANSWER:
-                return outcome.End.LOST
+            if size > MAX_BUFFERED_BYTES:
+                return outcome.AttemptResult.LOST
         if self._history.head_delivered:
-            # A resumed stream cannot go on with a failure's body.
-            return outcome.End.FAILED
-        self._call.held = call_module.WholeAnswer(
+            # An error response cannot continue a stream.
+            return outcome.AttemptResult.FAILED
+        self._call.buffered_response = call_module.BufferedResponse(
             status=head.status_code,
             headers=list(head.headers),
             body=b''.join(parts),
         )
         if head.status_code < 500:
-            return outcome.End.ANSWERED
-        return outcome.End.FAILED
+            return outcome.AttemptResult.ANSWERED
+        return outcome.AttemptResult.FAILED
 
-    async def _relay(
+    async def _forward_stream(
         self,
         head: http1_client.ResponseHead,
         connection: http1_client.Connection,
-    ) -> outcome.End:
-        """Pass events on, each as soon as it is whole."""
-        answer, cutter = self._call.answer, self._call.cutter
-        cutter.drop_rest()
+    ) -> outcome.AttemptResult:
+        """Forward the events of a stream, each once it is complete."""
+        response, splitter = self._call.response, self._call.splitter
+        splitter.discard_partial_event()
         while (data := await connection.read_data()) is not None:
-            whole = cutter.feed(data)
-            if whole:
-                self._begin_stream(head)
-                answer.write(whole)
-                await answer.drain()
-            if cutter.overflows:
-                return outcome.End.OVERSIZED
-        self._begin_stream(head)
-        if cutter.rest:
-            answer.write(cutter.rest)
-        answer.end()
-        return outcome.End.ANSWERED
-
-    def _begin_stream(self, head: http1_client.ResponseHead) -> None:
+            complete = splitter.feed(data)
+            if complete:
+                self._start_stream(head)
+                response.write(complete)
+                await response.drain()
+            if splitter.is_oversized:
+                return outcome.AttemptResult.OVERSIZED
+        self._start_stream(head)
+        if splitter.partial_event:
+            response.write(splitter.partial_event)
+        response.end()
+        return outcome.AttemptResult.ANSWERED
+
+    def _start_stream(self, head: http1_client.ResponseHead) -> None:
         if self._history.head_delivered:
             return
         self._history.head_delivered = True
-        self._core.outages.runs(self._call.service, self._endpoint.group)
-        headers = self._core.forwarding.answer(list(head.headers), length=None)
+        self._core.outages.record_recovery(
+            self._call.service, self._endpoint.group
+        )
+        headers = self._core.forwarding.response_headers(
+            list(head.headers), length=None
+        )
         self._core.metrics.latency(
             'first-event', self._call.organisation, self._call.age
         )
-        self._call.answer.start(head.status_code, headers)
-
-    # -- what is learnt --------------------------------------------------
+        self._call.response.start(head.status_code, headers)
 
-    def _judge(self, end: outcome.End) -> None:
-        """Learn about the endpoint from how the attempt ended."""
+    def _update_state(self, result: outcome.AttemptResult) -> None:
+        """Update the state of the endpoint or its group."""
         now = self._core.clock.now()
         known = self._core.directory
-        if end is outcome.End.ANSWERED:
-            known.succeeded(self._endpoint)
-        elif end is outcome.End.NOT_SENT:
-            known.unreachable(self._endpoint, now)
-        elif end is outcome.End.REPLACED:
-            known.replaced(self._endpoint)
-        elif end is outcome.End.DOWN:
-            self._core.outages.refused(
+        if result is outcome.AttemptResult.ANSWERED:
+            known.record_success(self._endpoint)
+        elif result is outcome.AttemptResult.NOT_SENT:
+            known.record_unreachable(self._endpoint, now)
+        elif result is outcome.AttemptResult.REPLACED:
+            known.record_replacement(self._endpoint)
+        elif result is outcome.AttemptResult.GROUP_UNAVAILABLE:
+            self._core.outages.record_refusal(
                 self._call.service, self._endpoint.group
             )
         elif self._core.has_group(self._call.service):
-            # A rank's failure is its whole group's: none is better.
+            # A failure affects all ranks of the group alike.
             return
-        elif end in (outcome.End.LOST, outcome.End.FAILED):
-            known.failed(self._endpoint, now)
+        elif result in (
+            outcome.AttemptResult.LOST,
+            outcome.AttemptResult.FAILED,
+        ):
+            known.record_failure(self._endpoint, now)
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its head to the end of its answer."""
+"""Handling of one caller's request until its response ends."""
 
 import asyncio
 import datetime
@@ -11,57 +11,60 @@
 from aspenfold._internal.gateway import forwarding
 from aspenfold._internal.gateway import outcome
 from aspenfold._internal.gateway import plan as plan_module
+from aspenfold._internal.gateway import plan_index as plan_index_module
 from aspenfold._internal.gateway import refusal
-from aspenfold._internal.gateway import table as table_module
 from aspenfold._internal.kernel import clock as clock_module
 from aspenfold._internal.network import http1_server
 from aspenfold._internal.observability import events
 
-UNTOLD_LEFT = datetime.timedelta(hours=1)
-"""Stands for the wait of callers that do not tell theirs, or nonsense;
-the route's timeout is shorter."""
+DEFAULT_TIME_LEFT = datetime.timedelta(hours=1)
+"""Time left of a request whose header is missing, invalid or larger; the
+route's timeout is shorter."""
 
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request has not run."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that promise a caller that its request has not run."""
 
 Code = exceptions.Code
 
 
 class Exchange:
-    """Answers one request by attempts at endpoints."""
+    """Serves one request by attempts at endpoints.
+
+    ``endpoint`` is the name of the last endpoint tried.
+    """
 
     def __init__(
         self,
         *,
         core: core_module.Core,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
         self._core = core
         self._request = request
-        self._answer = answer
+        self._response = response
         self._tried: set[str] = set()
-        self._told_left = told_left(
-            request.header(core.names.time_left_ms).decode('latin-1')
+        self._time_left = parse_time_left(
+            request.header(core.header_names.time_left_ms).decode('latin-1')
         )
         self._call = call_module.Call(
             clock=core.clock,
             request=request,
-            answer=answer,
-            id=request.header(core.names.attempt_id).decode('latin-1'),
-            deadline=request.received_at + self._told_left,
+            response=response,
+            id=request.header(core.header_names.attempt_id).decode('latin-1'),
+            deadline=request.received_at + self._time_left,
         )
         self.endpoint = ''
 
     async def run(self) -> None:
-        """Answer the request; cancelled when the caller leaves."""
+        """Serve the request; cancelled if the caller disconnects."""
         route = self._admit()
         if route is None:
             return
         history = outcome.History(route=route)
-        self._core.budget(self._call.service).record_request()
+        self._core.retry_budget(self._call.service).record_request()
         try:
-            await self._attempts(history)
+            await self._run_attempts(history)
         except asyncio.CancelledError:
             events.emit(
                 events.Event.CALLER_LEFT,
@@ -71,220 +74,242 @@
             )
             raise
 
-    # -- before the first attempt ----------------------------------------
-
     def _admit(self) -> plan_module.Route | None:
         """Return the request's route, or refuse it and return None."""
-        table = self._core.table
-        if table is None:
-            self._refuse(Code.NO_FLEET, 'no plan is known here yet')
+        plan_index = self._core.plan_index
+        if plan_index is None:
+            self._refuse(Code.NO_FLEET, 'the gateway has not read a plan yet')
             return None
         request = self._request
         path = request.target.partition(b'?')[0].decode('latin-1')
-        route = table.route(forwarding.host_name(request), path)
+        route = plan_index.find_route(forwarding.host_name(request), path)
         if route is None:
-            self._refuse(Code.UNKNOWN_SERVICE, 'no route has this path')
+            self._refuse(
+                Code.UNKNOWN_SERVICE, 'no route matches the host and path'
+            )
             return None
-        if not self._authenticate(table, route):
-            self._refuse(Code.UNAUTHENTICATED, 'the API key is not known')
+        if not self._authenticate(plan_index, route):
+            self._refuse(
+                Code.UNAUTHENTICATED, 'the API key is missing or unknown'
+            )
             return None
-        self._call.service = self._core.service_of(route)
-        left = min(route.timeout, self._told_left)
-        self._call.deadline = request.received_at + left
+        self._call.service = self._core.choose_service(route)
+        time_left = min(route.timeout, self._time_left)
+        self._call.deadline = request.received_at + time_left
         if self._core.refusing:
-            self._refuse(Code.DRAINING, 'this process is about to end')
+            self._refuse(Code.DRAINING, 'the gateway process is shutting down')
             return None
-        if self._core.is_overloaded(route, self._call.service, left):
-            self._refuse(Code.NO_PLACE, 'all places of all ranks are taken')
+        if self._core.should_refuse(route, self._call.service, time_left):
+            self._refuse(Code.NO_PLACE, 'every rank is at its request limit')
             return None
         return route
 
     def _authenticate(
-        self, table: table_module.Table, route: plan_module.Route
+        self, plan_index: plan_index_module.PlanIndex, route: plan_module.Route
     ) -> bool:
         key = forwarding.api_key(self._request)
-        found = table.organisation(key) if key else None
+        found = plan_index.find_organisation(key) if key else None
         if found is not None:
             self._call.organisation = found.name
             return True
-        return route.anonymous or not table.plan.organisations
+        return route.anonymous or not plan_index.plan.organisations
 
-    # -- attempts --------------------------------------------------------
-
-    async def _attempts(self, history: outcome.History) -> None:
+    async def _run_attempts(self, history: outcome.History) -> None:
         await self._wait_for_group(history)
         while True:
-            endpoint = self._core.choose(self._call.service, self._tried)
+            endpoint = self._core.choose_endpoint(
+                self._call.service, self._tried
+            )
             if endpoint is None:
                 self._end_without_endpoint(history)
                 return
             self.endpoint = endpoint.name
-            end = await attempt.Attempt(
+            result = await attempt.Attempt(
                 core=self._core,
                 call=self._call,
                 history=history,
                 endpoint=endpoint,
             ).run()
-            step = await self._next_step(history, end)
-            if step is not outcome.Step.AGAIN:
-                self._conclude(step, end, history)
+            step = await self._next_step(history, result)
+            if step is not outcome.NextStep.RETRY:
+                self._finish(step, result, history)
                 return
             self._tried.add(endpoint.name)
-            self._log_again(history, endpoint, end)
+            self._log_retry(history, endpoint, result)
 
     async def _next_step(
-        self, history: outcome.History, end: outcome.End
-    ) -> outcome.Step:
-        """Return what follows an attempt; pay for another one."""
-        budget = self._core.budget(self._call.service)
-        if end is outcome.End.DOWN and not self._core.standing(
-            self._call.service
+        self, history: outcome.History, result: outcome.AttemptResult
+    ) -> outcome.NextStep:
+        """Return the step after an attempt; a retry takes from the budget."""
+        budget = self._core.retry_budget(self._call.service)
+        if (
+            result is outcome.AttemptResult.GROUP_UNAVAILABLE
+            and not self._core.current_outage(self._call.service)
+        ):
+            # Another group of the service is available.
+            result = outcome.AttemptResult.DECLINED
+        # Only requests that were already sent need the retry budget.
+        is_first_send = history.attempts_sent == 0
+        has_budget = is_first_send or budget.available >= 1
+        step = outcome.next_step(history, result, has_budget=has_budget)
+        if (
+            step is outcome.NextStep.REFUSE
+            and result is outcome.AttemptResult.GROUP_UNAVAILABLE
+        ):
+            has_attempts_left = (
+                history.attempts_sent < history.route.max_attempts
+            )
+            if (
+                has_attempts_left
+                and has_budget
+                and await self._wait_for_group(history)
+            ):
+                step = outcome.NextStep.RETRY
+        if (
+            step is outcome.NextStep.RETRY
+            and not is_first_send
+            and not budget.take()
         ):
-            # Another group of the service runs.
-            end = outcome.End.DECLINED
-        # What no endpoint got yet is not sent *again*.
-        free = history.sent == 0
-        allowed = free or budget.available >= 1
-        step = outcome.after(history, end, budget=allowed)
-        if step is outcome.Step.REFUSE and end is outcome.End.DOWN:
-            sends = history.sent < history.route.max_attempts
-            if sends and allowed and await self._wait_for_group(history):
-                step = outcome.Step.AGAIN
-        if step is outcome.Step.AGAIN and not free and not budget.take():
-            # Others took what was left while this one waited.
-            return outcome.Step.REFUSE
+            # Other requests used up the budget during the wait.
+            return outcome.NextStep.REFUSE
         return step
 
     async def _wait_for_group(self, history: outcome.History) -> bool:
-        """Wait for a group that stands, if that gives a chance.
+        """Wait for the recovery of a group if the request can then succeed.
 
-        Return whether it runs now.
+        Return whether it recovered.
         """
         call, now = self._call, self._core.clock.now()
-        known = self._core.standing(call.service)
-        if known is None:
+        current_outage = self._core.current_outage(call.service)
+        if current_outage is None:
             return False
-        wait = known.wait_of(
-            history.route, age=call.age, left=call.left, now=now
+        delay = current_outage.wait_limit(
+            history.route, age=call.age, time_left=call.remaining, now=now
         )
-        if not wait:
+        if not delay:
             return False
         events.emit(
             events.Event.GROUP_AWAITED,
             call=call.id,
-            wait_ms=wait // clock_module.MILLISECOND,
-            expected_ms=known.remaining(now) // clock_module.MILLISECOND,
-            left_ms=call.left_ms,
+            wait_ms=delay // clock_module.MILLISECOND,
+            expected_ms=current_outage.remaining(now)
+            // clock_module.MILLISECOND,
+            left_ms=call.remaining_ms,
         )
-        opened = await known.wait(wait)
-        self._core.metrics.count('group_waits', 'opened' if opened else 'vain')
-        return opened
-
-    # -- the end ---------------------------------------------------------
+        recovered = await current_outage.wait_for_recovery(delay)
+        self._core.metrics.count(
+            'group_waits', 'opened' if recovered else 'vain'
+        )
+        return recovered
 
-    def _conclude(
-        self, step: outcome.Step, end: outcome.End, history: outcome.History
+    def _finish(
+        self,
+        step: outcome.NextStep,
+        result: outcome.AttemptResult,
+        history: outcome.History,
     ) -> None:
         match step:
-            case outcome.Step.DELIVER:
+            case outcome.NextStep.DELIVER:
                 self._deliver(history)
-            case outcome.Step.REFUSE:
+            case outcome.NextStep.REFUSE:
                 code = Code.OVERLOADED
-                if end is outcome.End.DOWN:
+                if result is outcome.AttemptResult.GROUP_UNAVAILABLE:
                     code = Code.GROUP_DOWN
-                self._refuse(code, f'{self.endpoint}: {end.value}')
-            case outcome.Step.GIVE_UP:
-                self._give_up(end)
-            case outcome.Step.BREAK_OFF:
-                self._break_off(end)
+                self._refuse(code, f'{self.endpoint}: {result.value}')
+            case outcome.NextStep.GIVE_UP:
+                self._send_unknown_outcome(result)
+            case outcome.NextStep.ABORT:
+                self._abort_stream(result)
 
     def _deliver(self, history: outcome.History) -> None:
         status = 200
         if not history.head_delivered:
-            held = self._call.held
-            assert held is not None
-            status = held.status
-            if status in PROMISES_NOT_RUN:
-                # Without the endpoint's word that it did not run.
-                self._give_up(outcome.End.FAILED)
+            buffered = self._call.buffered_response
+            assert buffered is not None
+            status = buffered.status
+            if status in NOT_RUN_STATUSES:
+                # The endpoint did not state that it had not run.
+                self._send_unknown_outcome(outcome.AttemptResult.FAILED)
                 return
-            self._pass_on(held)
-        self._finished(events.Event.CALL_FINISHED, status=status)
+            self._forward_buffered(buffered)
+        self._log_finished(events.Event.CALL_FINISHED, status=status)
         kind = history.route.kind.value
         metrics = self._core.metrics
         metrics.latency(kind, self._call.organisation, self._call.age)
         metrics.count('answers', str(status))
 
-    def _pass_on(self, held: call_module.WholeAnswer) -> None:
-        headers = self._core.forwarding.answer(
-            held.headers, length=len(held.body)
+    def _forward_buffered(
+        self, buffered: call_module.BufferedResponse
+    ) -> None:
+        headers = self._core.forwarding.response_headers(
+            buffered.headers, length=len(buffered.body)
         )
-        self._answer.start(held.status, headers)
-        if held.body:
-            self._answer.write(held.body)
-        self._answer.end()
+        self._response.start(buffered.status, headers)
+        if buffered.body:
+            self._response.write(buffered.body)
+        self._response.end()
 
     def _end_without_endpoint(self, history: outcome.History) -> None:
         if history.head_delivered:
-            self._break_off(outcome.End.NOT_SENT)
+            self._abort_stream(outcome.AttemptResult.NOT_SENT)
         elif history.may_have_run:
-            self._give_up(outcome.End.LOST)
+            self._send_unknown_outcome(outcome.AttemptResult.LOST)
         else:
             service = self._call.service
-            self._refuse(Code.NO_ENDPOINT, f'no endpoint of {service} is left')
+            self._refuse(
+                Code.NO_ENDPOINT, f'no endpoint of {service} is available'
+            )
 
     def _refuse(self, code: Code, detail: str) -> None:
         failure = exceptions.Failure(code=code, detail=detail)
-        wait = refusal.retry_after(code, self._call.left)
-        self._short_answer(failure, wait)
+        delay = refusal.retry_after(code, self._call.remaining)
+        self._send_error(failure, delay)
 
-    def _give_up(self, end: outcome.End) -> None:
+    def _send_unknown_outcome(self, result: outcome.AttemptResult) -> None:
         code = Code.ENDPOINT_LOST
-        if end is outcome.End.TIMED_OUT:
+        if result is outcome.AttemptResult.TIMED_OUT:
             code = Code.FATE_UNKNOWN
         failure = exceptions.Failure(
-            code=code, detail=f'{self.endpoint}: {end.value}'
+            code=code, detail=f'{self.endpoint}: {result.value}'
         )
-        self._short_answer(failure, None)
+        self._send_error(failure, None)
 
-    def _short_answer(
+    def _send_error(
         self,
         failure: exceptions.Failure,
-        wait: datetime.timedelta | None,
+        delay: datetime.timedelta | None,
     ) -> None:
         body = f'[{int(failure.code)}] {failure.detail}\n'.encode()
         headers = [
             (b'content-type', b'text/plain'),
             (b'content-length', str(len(body)).encode()),
         ]
-        if wait is not None:
-            value = f'{wait.total_seconds():.3f}'.encode()
+        if delay is not None:
+            value = f'{delay.total_seconds():.3f}'.encode()
             headers.append((b'retry-after', value))
         status = refusal.status(failure.code)
-        self._answer.start(status, headers)
-        self._answer.write(body)
-        self._answer.end()
+        self._response.start(status, headers)
+        self._response.write(body)
+        self._response.end()
         self._core.metrics.count('refusals', str(int(failure.code)))
-        self._finished(
+        self._log_finished(
             events.Event.CALL_FAILED,
             code=int(failure.code),
             status=status,
             detail=failure.detail,
         )
 
-    def _break_off(self, end: outcome.End) -> None:
-        self._answer.abort()
-        self._core.metrics.count('broken_streams', end.value)
-        self._finished(
+    def _abort_stream(self, result: outcome.AttemptResult) -> None:
+        self._response.abort()
+        self._core.metrics.count('broken_streams', result.value)
+        self._log_finished(
             events.Event.CALL_FAILED,
             code=int(Code.ANSWER_CUT),
-            detail=f'{self.endpoint}: {end.value}',
-            events=self._call.cutter.events,
+            detail=f'{self.endpoint}: {result.value}',
+            events=self._call.splitter.events,
         )
 
-    # -- logs ------------------------------------------------------------
-
-    def _finished(self, event: events.Event, **fields: object) -> None:
+    def _log_finished(self, event: events.Event, **fields: object) -> None:
         events.emit(
             event,
             call=self._call.id,
@@ -296,11 +321,11 @@
             **fields,
         )
 
-    def _log_again(
+    def _log_retry(
         self,
         history: outcome.History,
         endpoint: directory.Endpoint,
-        end: outcome.End,
+        result: outcome.AttemptResult,
     ) -> None:
         event = events.Event.ATTEMPT_LOST
         if history.head_delivered:
@@ -309,18 +334,20 @@
             event,
             call=self._call.id,
             endpoint=endpoint.name,
-            end=end.value,
+            end=result.value,
             age_ms=self._call.age_ms,
-            budget=round(self._core.budget(self._call.service).available, 1),
+            budget=round(
+                self._core.retry_budget(self._call.service).available, 1
+            ),
         )
 
 
-def told_left(text: str) -> datetime.timedelta:
-    """Return how long a caller says that it waits, in milliseconds."""
+def parse_time_left(text: str) -> datetime.timedelta:
+    """Parse the time that a caller waits, given in milliseconds."""
     try:
-        left = float(text)
+        time_left = float(text)
     except ValueError:
-        return UNTOLD_LEFT
-    if not 0 <= left <= UNTOLD_LEFT / clock_module.MILLISECOND:
-        return UNTOLD_LEFT
-    return datetime.timedelta(milliseconds=left)
+        return DEFAULT_TIME_LEFT
+    if not 0 <= time_left <= DEFAULT_TIME_LEFT / clock_module.MILLISECOND:
+        return DEFAULT_TIME_LEFT
+    return datetime.timedelta(milliseconds=time_left)
--- a/src/aspenfold/_internal/gateway/sampling.py
+++ b/src/aspenfold/_internal/gateway/sampling.py
@@ -1,7 +1,7 @@
-"""Which ranks' counts a leader reads.
+"""Selects the ranks whose expert counts a leader reads.
 
-Requests are dealt to ranks whatever they ask for, so that some ranks
-stand for all.  How many, is a matter of price.
+Requests are assigned to ranks regardless of their content, so a sample of
+ranks represents the whole group.
 """
 
 from collections import abc
@@ -9,61 +9,61 @@
 
 from aspenfold._internal.gateway import directory
 
-PAID_RANKS = 2
-"""Ranks whose counts are read from another host, one a turn: the group
-pauses for each, and each is paid for."""
+MAX_DIRECT_RANKS = 2
+"""Maximum number of ranks read directly at their engines, one per poll;
+each such read pauses the group."""
 
-FREE_RANKS = 24
-"""Most ranks whose counts are read through their agents: some forty
-requests a second at the users' sizes, which tells demand to within a
-few parts in a hundred."""
+MAX_AGENT_RANKS = 24
+"""Maximum number of ranks in the leader's zone read through their agents."""
 
-FAR_RANKS = 8
-"""Most of these in other zones: each answer is 2 to 10 KB, and all 72
-ranks of a service would be some 0.1 GB between zones in 45 s, by
-reckoning."""
+MAX_REMOTE_ZONE_RANKS = 8
+"""Maximum number of ranks in other zones read through their agents; limits
+the traffic between zones."""
 
 
-ZONE_INTERVAL = datetime.timedelta(milliseconds=100)
-"""Pace of reading the counts of the leader's own zone: about the time of a
-pass, so that new demand is seen within one."""
+ZONE_COUNT_INTERVAL = datetime.timedelta(milliseconds=100)
+"""Interval of reading counts in the leader's zone, about one pass."""
 
-GROUP_INTERVAL = datetime.timedelta(milliseconds=300)
-"""The same of all ranks, and of a group that has none in the leader's zone:
-bytes between zones are paid for.  Eight ranks of each of two such groups,
-read each 100 ms, would be 0.09 GB in 55 s at some 10 KB an answer."""
+GROUP_COUNT_INTERVAL = datetime.timedelta(milliseconds=300)
+"""Interval of reading counts in all zones; longer, to limit the traffic
+between zones."""
 
 
-def interval(
+def count_interval(
     endpoints: abc.Mapping[int, directory.Endpoint], zone: str
 ) -> datetime.timedelta:
-    """Return the pace of reading counts through agents."""
+    """Return the interval of reading a group's counts through agents.
+
+    ``endpoints`` maps the numbers of the group's ranks to endpoints and
+    ``zone`` is the zone of the leader.
+    """
     if any(endpoint.zone == zone for endpoint in endpoints.values()):
-        return ZONE_INTERVAL
-    return GROUP_INTERVAL
+        return ZONE_COUNT_INTERVAL
+    return GROUP_COUNT_INTERVAL
 
 
-def chosen(
+def choose_ranks(
     endpoints: abc.Mapping[int, directory.Endpoint],
     *,
     zone: str,
-    free: bool,
-    turn: int,
-    whole: bool = False,
+    agent_only: bool,
+    poll: int,
+    all_zones: bool = False,
 ) -> list[int]:
-    """Return the ranks to read in this ``turn``, by their number.
+    """Return the sorted numbers of the ranks to read.
 
-    ``free``: through agents, of the leader's own zone if it has any, as
-    bytes between zones are paid for; ``whole``: of all zones.  The same
-    ranks each time, since only what came since a rank's last reading
-    counts.
+    ``poll`` is the number of this poll.  With ``agent_only``, ranks are
+    read through their agents: those of ``zone`` if there are any, with
+    ``all_zones`` also some in other zones.  The same ranks are returned
+    in each poll, because demand is the increase since a rank's previous
+    counts.  Otherwise one rank is returned, to be read at its engine.
     """
-    every = sorted(endpoints)
-    if not free:
-        return [every[turn % min(PAID_RANKS, len(every))]]
-    near = [rank for rank in every if endpoints[rank].zone == zone]
-    near = near[:FREE_RANKS]
-    if near and not whole:
-        return near
-    far = [rank for rank in every if endpoints[rank].zone != zone]
-    return sorted(near + far[:FAR_RANKS])
+    rank_numbers = sorted(endpoints)
+    if not agent_only:
+        return [rank_numbers[poll % min(MAX_DIRECT_RANKS, len(rank_numbers))]]
+    local = [rank for rank in rank_numbers if endpoints[rank].zone == zone]
+    local = local[:MAX_AGENT_RANKS]
+    if local and not all_zones:
+        return local
+    remote = [rank for rank in rank_numbers if endpoints[rank].zone != zone]
+    return sorted(local + remote[:MAX_REMOTE_ZONE_RANKS])
--- a/src/aspenfold/_internal/network/agent_client.py
+++ b/src/aspenfold/_internal/network/agent_client.py
@@ -1,4 +1,4 @@
-"""Calls agents by grpclib; one channel an agent, made when needed."""
+"""gRPC client of agents and of other entries."""
 
 import asyncio
 from collections import abc
@@ -23,19 +23,22 @@
     grpclib.exceptions.StreamTerminatedError,
     grpclib.exceptions.ProtocolError,
 )
-"""What a broken or refused call raises."""
+"""Exceptions that a failed call raises."""
 
 
-class LegLost(Exception):
-    """A leg broke; ``sent``: the request may have reached the agent."""
+class AnswerStreamLost(Exception):
+    """The stream ended early.
+
+    ``sent`` is False only if the request cannot have reached the agent.
+    """
 
     def __init__(self, *, sent: bool) -> None:
-        super().__init__('the leg was lost')
+        super().__init__('the answer stream was lost')
         self.sent = sent
 
 
 class AgentClients:
-    """Channels to agents by ``(address, port)``."""
+    """Calls agents and entries, over one channel for each address."""
 
     def __init__(self, *, system_key: str) -> None:
         self._metadata = auth.metadata(system_key)
@@ -44,7 +47,10 @@
     async def execute(
         self, address: str, port: int, request: frames.AttemptRequest
     ) -> abc.AsyncIterator[frames.Frame]:
-        """Open a leg and give its frames; raises LegLost when it breaks."""
+        """Run or join an attempt, and yield its frames.
+
+        Raises AnswerStreamLost.
+        """
         stub = self._stub(address, port)
         await self._connect(address, port)
         sent = False
@@ -57,19 +63,19 @@
                 async for message in stream:
                     yield codec.frame_from_pb(message)
         except CALL_ERRORS as exc:
-            raise LegLost(sent=sent) from exc
+            raise AnswerStreamLost(sent=sent) from exc
 
     async def report(
         self, address: str, port: int, request: pb.ReportRequest
     ) -> pb.ReportReply:
-        """Ask for a report."""
+        """Exchange reports with an agent.  Raises one of CALL_ERRORS."""
         stub = self._stub(address, port)
         return await stub.Report(
             request, timeout=UNARY_TIMEOUT_S, metadata=self._metadata
         )
 
     async def cancel(self, address: str, port: int, attempt_id: str) -> None:
-        """Say that nobody waits for an attempt; best effort."""
+        """Ask an agent to cancel an attempt; ignore errors."""
         try:
             await self._stub(address, port).Cancel(
                 pb.CancelRequest(attempt_id=attempt_id),
@@ -82,7 +88,7 @@
     async def send_group_message(
         self, address: str, port: int, message: messages.Message
     ) -> None:
-        """Send a message of the expert map protocol; best effort."""
+        """Send a message of the expert map protocol; ignore errors."""
         try:
             await self._stub(address, port).Group(
                 codec.group_to_pb(message),
@@ -95,7 +101,10 @@
     async def fetch_fleet(
         self, address: str, port: int, have_offset: int
     ) -> pb.FleetReply:
-        """Ask a peer entry for a fleet state later than ``have_offset``."""
+        """Ask another entry for a fleet state later than ``have_offset``.
+
+        Raises one of CALL_ERRORS.
+        """
         channel = self._channel(address, port)
         return await rpc.PeerStub(channel).Fleet(
             pb.FleetRequest(have_offset=have_offset),
@@ -110,14 +119,14 @@
         self._channels.clear()
 
     async def _connect(self, address: str, port: int) -> None:
-        # grpclib connects inside the call; connecting first tells a
-        # request that never left from one whose fate is unknown.
+        # grpclib would connect inside the call.  Connecting first shows
+        # whether a failed request may have been sent.
         channel = self._channel(address, port)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await channel.__connect__()
         except CALL_ERRORS as exc:
-            raise LegLost(sent=False) from exc
+            raise AnswerStreamLost(sent=False) from exc
 
     def _channel(self, address: str, port: int) -> grpclib.client.Channel:
         key = (address, port)
--- a/src/aspenfold/_internal/processes/gateway_metrics.py
+++ b/src/aspenfold/_internal/processes/gateway_metrics.py
@@ -32,11 +32,11 @@
     gauge('reads_store', lambda: selection.is_reader(core.clock.now()))
     gauge('store_lost', lambda: selection.store_lost)
     gauge('followers', lambda: publisher.followers)
-    gauge('groups_standing', core.outages.standing)
+    gauge('groups_standing', core.outages.count_ongoing)
     gauge('leads_groups', lambda: leadership.is_leading)
     gauge('map_changes', lambda: leadership.map_changes)
     gauge('map_skew', lambda: leadership.skew)
-    gauge('retry_budget_left', core.least_budget)
+    gauge('retry_budget_left', core.min_retry_budget)
 
 
 def _seconds(age: datetime.timedelta | None) -> float:
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -112,7 +112,7 @@
     return gateway.GatewayProcess(
         cfg=cfg,
         platform=factory.create_platform(cfg.store),
-        dialect=headers.HEADER_NAMES,
+        header_names=headers.HEADER_NAMES,
         clock=clock.MonotonicClock(),
     )
 
