--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -52,7 +52,7 @@
         self._demand = demand_estimator.DemandEstimator(
             sets=shape.sets, experts=shape.experts
         )
-        # The skew at which the last planned stage did not pay, if it did not.
+        # The skew when the last stage did not pay, None if it did.
         self._best_skew: float | None = None
         self._planned_at: datetime.datetime | None = None
         self.sample_fast = False
@@ -63,7 +63,7 @@
         self._demand.add_counts(rank, counts)
 
     def update_estimate(self) -> None:
-        """Update the estimate of demand from the counts added since then."""
+        """Update the estimate of demand from the counts added."""
         self._demand.update_estimate(self._clock.now())
 
     async def plan(
@@ -74,8 +74,8 @@
         ``current`` is the map in use, ``slowdowns`` the slowdown of each
         rank.
         """
-        loads = self._demand.loads()
-        if loads is None:
+        loads_by_set = self._demand.loads_by_set()
+        if loads_by_set is None:
             return None
         stage = stage_planner.StagePlanner(
             shape=planner.MapShape(
@@ -84,7 +84,7 @@
                 slots_per_rank=self._shape.slots_per_rank,
                 max_new_experts=self._shape.spare,
             ),
-            loads=loads,
+            loads_by_set=loads_by_set,
             current=[[list(held) for held in one] for one in current],
             slowdowns=slowdowns,
             max_copies_per_rank=self._max_copies_per_rank,
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -189,7 +189,7 @@
     st.integers(1, 40),
 )
 def test_retries_of_all_entries_stay_within_the_shared_budget(
-    operations: list[str], entries: int
+    steps: list[str], entries: int
 ) -> None:
     """The limit holds after every step, for any number of entries."""
     slack = 90.0
@@ -199,7 +199,7 @@
     ]
     requests = 0
     retries = 0
-    for number, step in enumerate(operations):
+    for number, step in enumerate(steps):
         budget = budgets[number % entries]
         if step == 'request':
             budget.record_request()
@@ -506,7 +506,7 @@
     candidate.on_read(record, 4, clock.EPOCH)
     soon = clock.EPOCH + election.MAX_ACQUIRE_DELAY
     assert candidate.next_append(soon) is None
-    request = candidate.next_append(soon, holder_silent=True)
+    request = candidate.next_append(soon, holder_lost=True)
     assert request is not None
     assert request.token > record.token
 
