--- a/src/aspenfold/_internal/gateway/attempt.py
+++ b/src/aspenfold/_internal/gateway/attempt.py
@@ -239,13 +239,13 @@
     def _update_state(self, result: outcome.AttemptResult) -> None:
         """Update the state of the endpoint or its group."""
         now = self._core.clock.now()
-        known = self._core.directory
+        endpoints = self._core.directory
         if result is outcome.AttemptResult.ANSWERED:
-            known.record_success(self._endpoint)
+            endpoints.record_success(self._endpoint)
         elif result is outcome.AttemptResult.NOT_SENT:
-            known.record_unreachable(self._endpoint, now)
+            endpoints.record_unreachable(self._endpoint, now)
         elif result is outcome.AttemptResult.REPLACED:
-            known.record_replacement(self._endpoint)
+            endpoints.record_replacement(self._endpoint)
         elif result is outcome.AttemptResult.GROUP_UNAVAILABLE:
             self._core.outages.record_refusal(
                 self._call.service, self._endpoint.group
@@ -257,4 +257,4 @@
             outcome.AttemptResult.LOST,
             outcome.AttemptResult.FAILED,
         ):
-            known.record_failure(self._endpoint, now)
+            endpoints.record_failure(self._endpoint, now)
--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -23,9 +23,9 @@
 PLUGINS = (routing,)
 """Packages that register their policies when they are imported."""
 
-PLAIN_ROUTING = 'two-choices'
+PLAIN_ROUTING_POLICY = 'two-choices'
 
-GROUP_ROUTING = 'zone-first'
+GROUP_ROUTING_POLICY = 'zone-first'
 
 
 class Core:
@@ -57,8 +57,8 @@
         self.refusing = False
         self._budgets: dict[str, shared_budget.SharedBudget] = {}
         self.outages = outages.Outages(clock=clock)
-        self._plain_routing = self._routing(PLAIN_ROUTING)
-        self._group_routing = self._routing(GROUP_ROUTING)
+        self._plain_routing = self._create_policy(PLAIN_ROUTING_POLICY)
+        self._group_routing = self._create_policy(GROUP_ROUTING_POLICY)
 
     @property
     def limits(self) -> plan_module.Limits:
@@ -72,7 +72,7 @@
         """The version of the current plan, 0 if there is none."""
         return self.plan_index.plan.version if self.plan_index else 0
 
-    def adopt(self, plan: plan_module.Plan) -> None:
+    def adopt_plan(self, plan: plan_module.Plan) -> None:
         """Make a plan the current one unless its version is not newer."""
         plan_index = self.plan_index
         if plan_index is not None and plan.version <= plan_index.plan.version:
@@ -139,8 +139,10 @@
         self, endpoints: list[directory_module.Endpoint]
     ) -> list[directory_module.Endpoint]:
         """Return the endpoints of available groups, all if there are none."""
-        running = [e for e in endpoints if not self.outages.is_unavailable(e)]
-        return running or endpoints
+        available = [
+            e for e in endpoints if not self.outages.is_unavailable(e)
+        ]
+        return available or endpoints
 
     def choose_endpoint(
         self, service: str, avoid: set[str]
@@ -161,7 +163,7 @@
             candidates = self._in_available_groups(candidates)
         return policy.choose(candidates, '', True)
 
-    def _routing(self, name: str) -> routing_policy.RoutingPolicy:
+    def _create_policy(self, name: str) -> routing_policy.RoutingPolicy:
         policy: routing_policy.RoutingPolicy = registry.create(
             routing_policy.KIND,
             name,
--- a/src/aspenfold/_internal/gateway/directory.py
+++ b/src/aspenfold/_internal/gateway/directory.py
@@ -135,10 +135,10 @@
             if e.in_flight
         }
 
-    def set_slowdowns(self, paces: abc.Mapping[str, float]) -> None:
+    def set_slowdowns(self, slowdowns: abc.Mapping[str, float]) -> None:
         """Set the slowdowns of slow endpoints by name; reset all others."""
         for endpoint in self._endpoints.values():
-            endpoint.slowdown = paces.get(endpoint.name, 1.0)
+            endpoint.slowdown = slowdowns.get(endpoint.name, 1.0)
 
     def names(self) -> list[str]:
         """Return the names of all known endpoints."""
@@ -189,14 +189,14 @@
         """
         if now - recovered_at < STORE_RECOVERY_TIMEOUT:
             return []
-        lost = [
+        missing = [
             e.name
             for e in self._endpoints.values()
             if e.missing_since is not None
         ]
-        for name in lost:
+        for name in missing:
             self._forget(name)
-        return lost
+        return missing
 
     def _forget(self, name: str) -> None:
         if self._endpoints.pop(name, None) is not None:
@@ -225,8 +225,8 @@
         endpoint.failures += 1
         excess = endpoint.failures - FAILURES_BEFORE_PAUSE
         if excess >= 0:
-            wait = min(MAX_FAILURE_PAUSE, FAILURE_PAUSE * 2 ** min(excess, 4))
-            self._pause(endpoint, now + wait, 'failing')
+            pause = min(MAX_FAILURE_PAUSE, FAILURE_PAUSE * 2 ** min(excess, 4))
+            self._pause(endpoint, now + pause, 'failing')
 
     def record_success(self, endpoint: Endpoint) -> None:
         """Reset the count of failures after a complete response."""
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -216,7 +216,7 @@
                 if result is outcome.AttemptResult.GROUP_UNAVAILABLE:
                     code = Code.GROUP_DOWN
                 self._refuse(code, f'{self.endpoint}: {result.value}')
-            case outcome.NextStep.GIVE_UP:
+            case outcome.NextStep.REPORT_UNKNOWN:
                 self._send_unknown_outcome(result)
             case outcome.NextStep.ABORT:
                 self._abort_stream(result)
--- a/src/aspenfold/_internal/gateway/outage.py
+++ b/src/aspenfold/_internal/gateway/outage.py
@@ -93,7 +93,7 @@
     reachable = time_left / RETRY_DELAY_DIVISOR + retry_limit
     if needed <= reachable:
         return NO_WAIT
-    # Each second of waiting shortens the delay of the retry by a third.
+    # A wait shortens the delay of the retry by a third of its length.
     wait = (
         (needed - reachable) * RETRY_DELAY_DIVISOR / (RETRY_DELAY_DIVISOR - 1)
     )
--- a/src/aspenfold/_internal/gateway/outcome.py
+++ b/src/aspenfold/_internal/gateway/outcome.py
@@ -71,7 +71,7 @@
     REFUSE = 'refuse'
     """Respond that the request has not run."""
 
-    GIVE_UP = 'give-up'
+    REPORT_UNKNOWN = 'give-up'
     """Respond that the request may have run."""
 
     ABORT = 'break-off'
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class History:
-    """The attempts made for one request so far.
+    """Results of the attempts made for one request so far.
 
     ``attempts_sent`` counts the endpoints that the request was sent to,
     ``unreachable`` the connections that failed.  ``head_delivered`` is
@@ -127,5 +127,5 @@
     if result is AttemptResult.FAILED:
         return NextStep.DELIVER
     if history.may_have_run:
-        return NextStep.GIVE_UP
+        return NextStep.REPORT_UNKNOWN
     return NextStep.REFUSE
--- a/src/aspenfold/_internal/gateway/plan_feed.py
+++ b/src/aspenfold/_internal/gateway/plan_feed.py
@@ -29,7 +29,7 @@
 class PlanConsumer(typing.Protocol):
     """Receives the plans that the feed reads."""
 
-    def adopt(self, plan: plan_module.Plan) -> None:
+    def adopt_plan(self, plan: plan_module.Plan) -> None:
         """Apply a plan unless a newer one is in force."""
 
 
@@ -187,7 +187,7 @@
                 error=str(exc)[:200],
             )
             return
-        self._consumer.adopt(plan)
+        self._consumer.adopt_plan(plan)
 
     def snapshot(self) -> relay.RelayedRecords | None:
         """Return the newest plan for a new follower, None for none."""
--- a/src/aspenfold/_internal/gateway/store_feeds.py
+++ b/src/aspenfold/_internal/gateway/store_feeds.py
@@ -20,7 +20,7 @@
 
     directory: directory_module.Directory
 
-    def adopt(self, plan: plan_module.Plan) -> None:
+    def adopt_plan(self, plan: plan_module.Plan) -> None:
         """Apply a plan unless a newer one is in force."""
 
 
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -10,13 +10,13 @@
 from aspenfold._internal.gateway import event_stream
 from tests.lib import gateway_rig as rigs
 
-SEAL = 'x-aspenfold-response-seal'
+SEAL_HEADER = 'x-aspenfold-response-seal'
 
 ENDLESS_PART = 65_536
 """Bytes of an endless event that an endpoint writes at once."""
 
 
-def play(
+def run_scene(
     scene: abc.Callable[[rigs.Rig], abc.Awaitable[None]],
     value: dict[str, object] | None = None,
 ) -> None:
@@ -29,7 +29,7 @@
     asyncio.run(run())
 
 
-async def two(
+async def add_two_workers(
     rig: rigs.Rig, first: workers.Script, second: workers.Script
 ) -> tuple[workers.Worker, workers.Worker]:
     """Add two endpoints with these scripts."""
@@ -40,7 +40,7 @@
     return one, other
 
 
-def runs(rig: rigs.Rig) -> int:
+def run_count(rig: rigs.Rig) -> int:
     """Return how many requests all endpoints ran."""
     return sum(sum(worker.runs.values()) for worker in rig.workers)
 
@@ -55,12 +55,12 @@
         assert answer.status == 200
         assert answer.whole
         assert answer.body == b'answer of w-1'
-        assert answer.headers[SEAL] == 'seal-w-1'
+        assert answer.headers[SEAL_HEADER] == 'seal-w-1'
         request = rig.workers[0].arrivals[0]
         assert (request.method, request.target) == ('POST', '/safe/a?b=c')
         assert request.body == b'hello'
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_the_endpoint_gets_the_gateways_headers_but_no_api_key() -> None:
@@ -83,7 +83,7 @@
         assert got['x-custom'] == 'kept'
         assert 'authorization' not in got
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
         await rig.ready()
         assert (await rig.ask(path, key)).status == status
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_without_a_plan_requests_get_a_503() -> None:
@@ -140,7 +140,7 @@
     """The caller must get only the complete response."""
 
     async def scene(rig: rigs.Rig) -> None:
-        bad, _ = await two(rig, workers.failing, workers.whole)
+        bad, _ = await add_two_workers(rig, workers.failing, workers.whole)
         # Either endpoint may be chosen first.
         for _ in range(64):
             answer = await rig.ask('/safe/')
@@ -149,7 +149,7 @@
         assert answer.status == 200
         assert bad.arrivals
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -170,33 +170,33 @@
     """It must not be sent again or reported as not run."""
 
     async def scene(rig: rigs.Rig) -> None:
-        await two(rig, script, script)
+        await add_two_workers(rig, script, script)
         answer = await rig.ask('/unsafe/', body='x')
         assert answer.status == status
         assert 'retry-after' not in answer.headers
-        assert runs(rig) == 1
+        assert run_count(rig) == 1
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_an_unsafe_request_is_retried_if_it_has_not_run() -> None:
     """A refused connection proves that it has not run."""
 
     async def scene(rig: rigs.Rig) -> None:
-        shut, _ = await two(rig, workers.whole, workers.whole)
+        shut, _ = await add_two_workers(rig, workers.whole, workers.whole)
         await shut.stop()
         for _ in range(6):
             assert (await rig.ask('/unsafe/', body='x')).status == 200
         assert not shut.arrivals
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_failed_connections_do_not_use_the_retry_budget() -> None:
     """Nothing was sent, so nothing is retried."""
 
     async def scene(rig: rigs.Rig) -> None:
-        shut, _ = await two(rig, workers.whole, workers.whole)
+        shut, _ = await add_two_workers(rig, workers.whole, workers.whole)
         await shut.stop()
         budget = rig.process._core.retry_budget('plain')
         while budget.take():
@@ -204,21 +204,21 @@
         for _ in range(6):
             assert (await rig.ask('/unsafe/', body='x')).status == 200
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_attempts_are_limited_by_the_route() -> None:
     """With one attempt allowed, a refusal must not be retried."""
 
     async def scene(rig: rigs.Rig) -> None:
-        await two(rig, workers.full, workers.full)
+        await add_two_workers(rig, workers.full, workers.full)
         answer = await rig.ask('/once/', body='x')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
         assert sum(len(w.arrivals) for w in rig.workers) == 1
-        assert runs(rig) == 0
+        assert run_count(rig) == 0
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_response_without_a_length_ends_with_its_connection() -> None:
@@ -231,7 +231,7 @@
         assert (answer.status, answer.body) == (200, b'no length')
         assert answer.whole
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_request_does_not_run_at_another_incarnation() -> None:
@@ -243,9 +243,9 @@
         worker.name = 'w-9'
         answer = await rig.ask('/once/', body='x')
         assert answer.status == 503
-        assert runs(rig) == 0
+        assert run_count(rig) == 0
 
-    play(scene)
+    run_scene(scene)
 
 
 def whole_stream(count: int = 10) -> bytes:
@@ -257,7 +257,9 @@
     """Events must not repeat, and the first response head is kept."""
 
     async def scene(rig: rigs.Rig) -> None:
-        broken, _ = await two(rig, workers.stream_broken, workers.stream)
+        broken, _ = await add_two_workers(
+            rig, workers.stream_broken, workers.stream
+        )
         # Either endpoint may be chosen first.
         for _ in range(64):
             answer = await rig.ask('/stream/', body='x')
@@ -265,25 +267,27 @@
             assert answer.body == whole_stream()
             if broken.arrivals:
                 break
-        assert answer.headers[SEAL] == 'seal-w-1'
+        assert answer.headers[SEAL_HEADER] == 'seal-w-1'
         resumed = rig.workers[1].arrivals[-1].headers
         assert resumed['last-event-id'] == '4'
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_stream_that_cannot_be_resumed_is_aborted() -> None:
     """It must not run again or look complete."""
 
     async def scene(rig: rigs.Rig) -> None:
-        await two(rig, workers.stream_broken, workers.stream_broken)
+        await add_two_workers(
+            rig, workers.stream_broken, workers.stream_broken
+        )
         answer = await rig.ask('/song/', body='x')
         assert answer.status == 200
         assert not answer.whole
         assert answer.body == whole_stream(4)
-        assert runs(rig) == 1
+        assert run_count(rig) == 1
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_events_are_forwarded_immediately() -> None:
@@ -301,7 +305,7 @@
         assert workers.event(3) not in data
         writer.close()
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize('script', [workers.hang, workers.stream])
@@ -321,7 +325,7 @@
         writer.close()
         await rigs.until(lambda: worker.cancelled)
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_request_ends_at_the_timeout_of_the_route() -> None:
@@ -334,7 +338,7 @@
         left = worker.arrivals[0].headers['x-aspenfold-deadline-remaining-ms']
         assert int(left) <= 300
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_an_unavailable_group_is_not_tried_twice() -> None:
@@ -349,7 +353,7 @@
         assert float(answer.headers['retry-after']) > 1
         assert sum(rigs.asked(w, '/model/') for w in rig.workers) == 1
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_first_request_is_not_queued_at_a_full_group() -> None:
@@ -374,7 +378,7 @@
         assert (await rig.ask('/model/', **left)).status == 200
         writer.close()
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize('how', ['draining', 'removed'])
@@ -382,7 +386,7 @@
     """Both after its record says draining and after its removal."""
 
     async def scene(rig: rigs.Rig) -> None:
-        leaving, _ = await two(rig, workers.whole, workers.whole)
+        leaving, _ = await add_two_workers(rig, workers.whole, workers.whole)
         topic = rigs.endpoint_records.TOPIC
         if how == 'removed':
             await rig.store.remove(topic, 'w-1')
@@ -397,7 +401,7 @@
             assert (await rig.ask('/safe/')).status == 200
         assert len(leaving.arrivals) == before
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_only_newer_plans_are_applied() -> None:
@@ -419,7 +423,7 @@
         assert (await rig.ask('/safe/', '')).status == 401
         assert rig.process.plan_version == 6
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_an_invalid_plan_is_ignored() -> None:
@@ -433,7 +437,7 @@
         await rigs.until(lambda: rig.process.plan_version == 2)
         assert (await rig.ask('/safe/')).status == 200
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_shutdown_completes_requests_in_flight() -> None:
@@ -455,7 +459,7 @@
         assert answer.body == whole_stream()
         await ending
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
@@ -491,7 +495,7 @@
         assert (await rig.ask('/safe/')).status == 200
         assert len(rig.workers[0].arrivals) == 1
 
-    play(scene)
+    run_scene(scene)
 
 
 def test_a_persistent_connection_serves_requests_in_order() -> None:
@@ -510,7 +514,7 @@
         assert order == sorted(order)
         writer.close()
 
-    play(scene)
+    run_scene(scene)
 
 
 async def endless_event(
@@ -531,15 +535,15 @@
     """The stream must be aborted and not be resumed elsewhere."""
 
     async def scene(rig: rigs.Rig) -> None:
-        await two(rig, endless_event, endless_event)
+        await add_two_workers(rig, endless_event, endless_event)
         answer = await rig.ask('/stream/')
         assert answer.status == 200
         assert not answer.whole
-        assert runs(rig) == 1
+        assert run_count(rig) == 1
         # The size limit must end the stream, not the route's timeout.
         metrics = rig.process._core.metrics.text().decode()
         assert (
             'aspenfold_broken_streams_total{label="oversized"} 1.0' in metrics
         )
 
-    play(scene)
+    run_scene(scene)
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -27,7 +27,7 @@
     resumable=True,
 )
 
-LONGEST = outage.MIN_FIRST_EVENT_TIMEOUT - outage.FIRST_EVENT_MARGIN
+MAX_WAIT = outage.MIN_FIRST_EVENT_TIMEOUT - outage.FIRST_EVENT_MARGIN
 
 
 def ongoing_outage(
@@ -44,11 +44,11 @@
     now: datetime.datetime,
     *,
     age: datetime.timedelta = 0 * MS,
-    left: datetime.timedelta = TIMEOUT,
+    time_left: datetime.timedelta = TIMEOUT,
     route: plan.Route = ROUTE,
 ) -> datetime.timedelta:
     """Return how long a request may wait."""
-    return found.wait_limit(route, age=age, time_left=left, now=now)
+    return found.wait_limit(route, age=age, time_left=time_left, now=now)
 
 
 def test_only_streams_wait_and_only_during_an_outage() -> None:
@@ -56,18 +56,18 @@
     assert not wait(outage.Outage(), clock.EPOCH)
     found, now = ongoing_outage(4 * SECOND)
     plain = dataclasses.replace(ROUTE, kind=plan.Kind.SAFE)
-    assert not wait(found, now, left=SECOND, route=plain)
+    assert not wait(found, now, time_left=SECOND, route=plain)
 
 
 def test_a_retry_waits_only_if_the_recovery_may_be_near() -> None:
     """Otherwise the retry must be refused immediately."""
-    left = TIMEOUT / 2
+    time_left = TIMEOUT / 2
     early, now = ongoing_outage(SECOND)
-    assert not wait(early, now, left=left)
+    assert not wait(early, now, time_left=time_left)
     late, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION - SECOND)
-    assert wait(late, now, left=left) == LONGEST
+    assert wait(late, now, time_left=time_left) == MAX_WAIT
     overdue, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION * 2)
-    assert wait(overdue, now, left=left) == LONGEST
+    assert wait(overdue, now, time_left=time_left) == MAX_WAIT
 
 
 def test_a_first_request_waits_only_as_long_as_its_retry_needs() -> None:
@@ -76,13 +76,13 @@
     assert not wait(late, now)
     fresh, now = ongoing_outage(0 * SECOND)
     found = wait(fresh, now)
-    assert 0 * MS < found < LONGEST
+    assert 0 * MS < found < MAX_WAIT
     # A retry after that wait can wait until the expected recovery.
-    back = found + (TIMEOUT - found) / outage.RETRY_DELAY_DIVISOR
-    reach = back + LONGEST
+    retry_at = found + (TIMEOUT - found) / outage.RETRY_DELAY_DIVISOR
+    latest = retry_at + MAX_WAIT
     assert (
         abs(
-            reach
+            latest
             - outage.EXPECTED_OUTAGE_DURATION
             - outage.EXPECTED_OUTAGE_MARGIN
         )
@@ -93,9 +93,12 @@
 def test_no_wait_exceeds_the_first_event_timeout() -> None:
     """The time that the request has already waited must count."""
     late, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION)
-    left = TIMEOUT / 2
-    assert wait(late, now, left=left - SECOND, age=SECOND) == LONGEST - SECOND
-    assert not wait(late, now, left=left - LONGEST, age=LONGEST)
+    time_left = TIMEOUT / 2
+    assert (
+        wait(late, now, time_left=time_left - SECOND, age=SECOND)
+        == MAX_WAIT - SECOND
+    )
+    assert not wait(late, now, time_left=time_left - MAX_WAIT, age=MAX_WAIT)
 
 
 def test_a_recovery_before_the_outage_is_ignored() -> None:
--- a/tests/unit/test_store_feeds.py
+++ b/tests/unit/test_store_feeds.py
@@ -65,7 +65,7 @@
         self.directory = directory.Directory()
         self.plans: list[plan.Plan] = []
 
-    def adopt(self, new_plan: plan.Plan) -> None:
+    def adopt_plan(self, new_plan: plan.Plan) -> None:
         """Keep a plan."""
         self.plans.append(new_plan)
 
