--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -30,9 +30,9 @@
 from aspenfold._internal.observability import metrics
 from aspenfold._internal.processes import peer_service
 from aspenfold._internal.processes import platform_feed
+from aspenfold._internal.processes import report_poller
 from aspenfold._internal.processes import status
 from aspenfold._internal.processes import tasks
-from aspenfold._internal.processes import watcher
 from aspenfold._internal import retries
 from aspenfold._internal import routing
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
@@ -72,7 +72,7 @@
         self._validator = request_validator.RequestValidator()
         self._loop = asyncio.get_running_loop()
         self._feed = platform_feed.PlatformFeed(entry=self, rng=self._rng)
-        self.watcher = watcher.Watcher(entry=self)
+        self.report_poller = report_poller.ReportPoller(entry=self)
         self._responses: dict[str, response_queue.ResponseQueue] = {}
         self._started: dict[str, tuple[str, str, datetime.datetime]] = {}
         self._legs: dict[int, asyncio.Task[None]] = {}
@@ -93,7 +93,7 @@
         port = server.start()
         self._feed.start()
         self.tasks.spawn(self._tick())
-        self.tasks.spawn(self.watcher.run())
+        self.tasks.spawn(self.report_poller.run())
         print(
             json.dumps(
                 {'ready': self.name, 'port': port, 'peer_port': peer_port}
--- a/src/aspenfold/_internal/processes/watcher.py
+++ b/src/aspenfold/_internal/processes/report_poller.py
@@ -32,7 +32,7 @@
     tasks: tasks_module.Tasks
 
 
-class Watcher:
+class ReportPoller:
     """One report an interval from each watched endpoint."""
 
     def __init__(self, *, entry: Entry) -> None:
