--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -47,7 +47,7 @@
     rows = []
     for variant, tick in (('written', 1.0), ('left out', 0.0)):
         now = [0.0]
-        destination = output.Output(
+        destination = output.LogDestination(
             write=len, monotonic=lambda now=now: now[0]
         )
         eliot.add_destinations(destination)
--- a/src/aspenfold/_internal/exceptions.py
+++ b/src/aspenfold/_internal/exceptions.py
@@ -70,7 +70,7 @@
     HOST_LIST_DOWN = 5003
 
 
-MEANING: dict[Code, str] = {
+DESCRIPTIONS: dict[Code, str] = {
     Code.BAD_REQUEST: 'the request lacks something; see `param`',
     Code.UNAUTHENTICATED: 'no organisation has this credential',
     Code.UNKNOWN_SERVICE: 'the fleet has no such service',
--- a/src/aspenfold/_internal/gateway/attempt.py
+++ b/src/aspenfold/_internal/gateway/attempt.py
@@ -231,7 +231,7 @@
         headers = self._core.forwarding.response_headers(
             list(head.headers), length=None
         )
-        self._core.metrics.latency(
+        self._core.metrics.record_latency(
             'first-event', self._call.organisation, self._call.age
         )
         self._call.response.start(head.status_code, headers)
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -197,7 +197,7 @@
             left_ms=call.remaining_ms,
         )
         recovered = await current_outage.wait_for_recovery(delay)
-        self._core.metrics.count(
+        self._core.metrics.increment(
             'group_waits', 'opened' if recovered else 'vain'
         )
         return recovered
@@ -235,8 +235,8 @@
         self._log_finished(events.Event.CALL_FINISHED, status=status)
         kind = history.route.kind.value
         metrics = self._core.metrics
-        metrics.latency(kind, self._call.organisation, self._call.age)
-        metrics.count('answers', str(status))
+        metrics.record_latency(kind, self._call.organisation, self._call.age)
+        metrics.increment('answers', str(status))
 
     def _forward_buffered(
         self, buffered: call_module.BufferedResponse
@@ -291,7 +291,7 @@
         self._response.start(status, headers)
         self._response.write(body)
         self._response.end()
-        self._core.metrics.count('refusals', str(int(failure.code)))
+        self._core.metrics.increment('refusals', str(int(failure.code)))
         self._log_finished(
             events.Event.CALL_FAILED,
             code=int(failure.code),
@@ -301,7 +301,7 @@
 
     def _abort_stream(self, result: outcome.AttemptResult) -> None:
         self._response.abort()
-        self._core.metrics.count('broken_streams', result.value)
+        self._core.metrics.increment('broken_streams', result.value)
         self._log_finished(
             events.Event.CALL_FAILED,
             code=int(Code.ANSWER_CUT),
--- a/src/aspenfold/_internal/observability/events.py
+++ b/src/aspenfold/_internal/observability/events.py
@@ -67,7 +67,7 @@
     NEWS_LOST = 704
 
 
-MEANING: dict[Event, str] = {
+DESCRIPTIONS: dict[Event, str] = {
     Event.STARTED: 'a program is ready to serve',
     Event.DRAINING: 'a program was told to stop and finishes its work',
     Event.STOPPED: 'a program has ended',
@@ -129,7 +129,7 @@
 
 def configure_output() -> None:
     """Send JSON lines to standard output without ever blocking."""
-    eliot.add_destinations(output.standard_output())
+    eliot.add_destinations(output.stdout_destination())
 
 
 def emit(event: Event, **fields: object) -> None:
--- a/src/aspenfold/_internal/observability/metrics.py
+++ b/src/aspenfold/_internal/observability/metrics.py
@@ -31,7 +31,7 @@
         self._registry = prometheus_client.CollectorRegistry()
         self._registry.register(typing.cast(typing.Any, self))
 
-    def latency(
+    def record_latency(
         self, priority: str, organisation: str, taken: datetime.timedelta
     ) -> None:
         """Record how long a call took to its final answer."""
@@ -42,11 +42,11 @@
             self._latency[key] = known
         known.record_value(max(LOWEST_US, taken // MICROSECOND))
 
-    def count(self, name: str, label: str, by: int = 1) -> None:
+    def increment(self, name: str, label: str, by: int = 1) -> None:
         """Add to a counter."""
         self._counts[name, label] += by
 
-    def gauge(self, name: str, read: typing.Callable[[], float]) -> None:
+    def add_gauge(self, name: str, read: typing.Callable[[], float]) -> None:
         """Export ``read()`` as a gauge."""
         self._gauges[name] = read
 
--- a/src/aspenfold/_internal/observability/output.py
+++ b/src/aspenfold/_internal/observability/output.py
@@ -29,25 +29,25 @@
 class _Bucket:
     """The lines that one event may still write."""
 
-    __slots__ = ('left_out', 'tokens', 'updated')
+    __slots__ = ('dropped_lines', 'tokens', 'updated')
 
     def __init__(self, now: float) -> None:
         self.tokens = BURST
         self.updated = now
-        self.left_out = 0
+        self.dropped_lines = 0
 
     def take(self, now: float) -> bool:
         gained = (now - self.updated) * RATE_PER_S
         self.tokens = min(BURST, self.tokens + gained)
         self.updated = now
         if self.tokens < 1:
-            self.left_out += 1
+            self.dropped_lines += 1
             return False
         self.tokens -= 1
         return True
 
 
-class Output:
+class LogDestination:
     """An eliot destination that never blocks."""
 
     def __init__(
@@ -61,7 +61,7 @@
         self._buckets: dict[object, _Bucket] = {}
         self._pending = b''
         self._told_at = monotonic()
-        self.left_out = 0
+        self.dropped_lines = 0
 
     def __call__(self, message: dict[str, typing.Any]) -> None:
         """Write one message, or count it as left out."""
@@ -71,7 +71,7 @@
         if bucket is None:
             bucket = self._buckets[kind] = _Bucket(now)
         if not bucket.take(now):
-            self.left_out += 1
+            self.dropped_lines += 1
             return
         if now - self._told_at >= TELL_INTERVAL_S:
             self._told_at = now
@@ -81,17 +81,17 @@
     def _tell(self, message: dict[str, typing.Any]) -> dict[str, typing.Any]:
         """Add the numbers of lines left out since the last telling."""
         missing = {
-            str(kind): bucket.left_out
+            str(kind): bucket.dropped_lines
             for kind, bucket in self._buckets.items()
-            if bucket.left_out
+            if bucket.dropped_lines
         }
         for bucket in self._buckets.values():
-            bucket.left_out = 0
+            bucket.dropped_lines = 0
         return {**message, 'left_out': missing} if missing else message
 
     def _put(self, line: bytes) -> None:
         if len(self._pending) + len(line) > MAX_PENDING_BYTES:
-            self.left_out += 1
+            self.dropped_lines += 1
             self._flush()
             return
         self._pending += line
@@ -109,7 +109,7 @@
             self._pending = b''
 
 
-def standard_output() -> Output:
+def stdout_destination() -> LogDestination:
     """Return a destination on this process's standard output."""
     os.set_blocking(STDOUT, False)
-    return Output(write=lambda data: os.write(STDOUT, data))
+    return LogDestination(write=lambda data: os.write(STDOUT, data))
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self._version = 0
         self._queues: dict[int, frame_queue.FrameQueue] = {}
-        self._tasks = tasks.Tasks()
+        self._tasks = tasks.BackgroundTasks()
         self._clients = agent_client.AgentClients(system_key=cfg.system_key)
         self._stop = asyncio.Event()
         self._member: group_member.GroupMember | None = None
@@ -131,7 +131,7 @@
             version=self._version,
         )
         if self._member is not None:
-            self._member.told(request)
+            self._member.on_report_request(request)
             reply.map_version = self._member.map_version
             reply.map_in_use = self._member.map_in_use
             reply.expert_load.extend(self._member.expert_load)
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -68,7 +68,7 @@
             rng=self._rng,
         )
         self.clients = agent_client.AgentClients(system_key=cfg.system_key)
-        self.tasks = tasks.Tasks()
+        self.tasks = tasks.BackgroundTasks()
         self._validator = request_validator.RequestValidator()
         self._loop = asyncio.get_running_loop()
         self._feed = platform_feed.PlatformFeed(entry=self, rng=self._rng)
@@ -185,7 +185,7 @@
         try:
             call = self._validator.validate(raw)
         except exceptions.RequestError as exc:
-            self.metrics.count('refusals', str(int(exc.failure.code)))
+            self.metrics.increment('refusals', str(int(exc.failure.code)))
             response.put(response_queue.Failed(failure=exc.failure))
             return
         self._responses[call.call_id] = response
@@ -235,9 +235,9 @@
         }
 
     @property
-    def listing(self) -> hosts.HostList:
+    def host_list(self) -> hosts.HostList:
         """The host list as last read."""
-        return self._feed.listing
+        return self._feed.host_list
 
     def apply(self, result: list[actions.Action]) -> None:
         """Carry out the kernel's actions."""
@@ -284,13 +284,13 @@
         if started is not None:
             priority, organisation, since = started
             taken = self.clock.now() - since
-            self.metrics.latency(priority, organisation, taken)
+            self.metrics.record_latency(priority, organisation, taken)
         if isinstance(part, response_queue.Failed):
             code = int(part.failure.code)
-            self.metrics.count('refusals', str(code))
+            self.metrics.increment('refusals', str(code))
             events.emit(events.Event.CALL_FAILED, call=call_id, code=code)
             return
-        self.metrics.count('answers', 'whole')
+        self.metrics.increment('answers', 'whole')
         events.emit(events.Event.CALL_FINISHED, call=call_id)
 
     async def _run_leg(self, action: actions.OpenAnswerStream) -> None:
@@ -384,13 +384,13 @@
             self._end(call_id, response_queue.Failed(failure=failure))
 
     def _add_gauges(self) -> None:
-        gauge = self.metrics.gauge
-        gauge('in_flight', lambda: self.kernel.in_flight)
-        gauge(
+        add_gauge = self.metrics.add_gauge
+        add_gauge('in_flight', lambda: self.kernel.in_flight)
+        add_gauge(
             'config_version',
             lambda: self.kernel.fleet_reader.state.version,
         )
-        gauge('log_up', lambda: float(self.kernel.log_up))
+        add_gauge('log_up', lambda: float(self.kernel.log_up))
 
 
 def run(cfg: settings.EntrySettings) -> None:
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -116,17 +116,17 @@
             is_passive=self._is_passive,
             publish=self._publisher.publish,
         )
-        self._tasks = tasks.Tasks()
+        self._tasks = tasks.BackgroundTasks()
         self._stop = asyncio.Event()
         self._leading: asyncio.Task[None] | None = None
         self.port = 0
         self.health_port = 0
         self.metrics_port = 0
-        self.news_port = 0
+        self.relay_port = 0
         self._callers = self._server(self._handle)
         self._health = self._server(self._answer_health)
         self._metrics = self._server(self._answer_metrics)
-        self._news = self._server(self._publisher.handle)
+        self._relay_server = self._server(self._publisher.handle)
         self._in_flight = 0
         gateway_metrics.register(
             core=self._core,
@@ -179,7 +179,7 @@
             host=self._cfg.address, port=self._cfg.peer_port
         )
         metrics = self._cfg.metrics
-        self.news_port = await _listen(self._news, peers, 'peer_port')
+        self.relay_port = await _listen(self._relay_server, peers, 'peer_port')
         self.port = await _listen(self._callers, callers, 'callers')
         self.health_port = await _listen(self._health, health, 'health')
         self.metrics_port = await _listen(self._metrics, metrics, 'metrics')
@@ -313,7 +313,12 @@
         if self._leading is not None:
             self._leading.cancel()
         self._tasks.cancel()
-        servers = (self._callers, self._health, self._metrics, self._news)
+        servers = (
+            self._callers,
+            self._health,
+            self._metrics,
+            self._relay_server,
+        )
         for server in servers:
             server.close()
         await asyncio.sleep(0)
@@ -352,7 +357,7 @@
                 in_flight=self._in_flight,
             )
         self._tasks.cancel()
-        for server in (self._health, self._metrics, self._news):
+        for server in (self._health, self._metrics, self._relay_server):
             server.close()
         events.emit(events.Event.STOPPED, name=self._cfg.name)
 
--- a/src/aspenfold/_internal/processes/gateway_metrics.py
+++ b/src/aspenfold/_internal/processes/gateway_metrics.py
@@ -23,20 +23,20 @@
     in_flight: typing.Callable[[], int],
 ) -> None:
     """Add the gauges to the core's metrics; ages are in seconds."""
-    gauge = core.metrics.gauge
-    gauge('in_flight', in_flight)
-    gauge('plan_version', lambda: core.plan_version)
-    gauge('plan_age_seconds', lambda: _seconds(core.plan_age()))
-    gauge('list_age_seconds', lambda: _seconds(feeds.endpoints_age()))
-    gauge('endpoints', lambda: len(core.directory))
-    gauge('reads_store', lambda: selection.is_reader(core.clock.now()))
-    gauge('store_lost', lambda: selection.store_lost)
-    gauge('followers', lambda: publisher.followers)
-    gauge('groups_standing', core.outages.count_ongoing)
-    gauge('leads_groups', lambda: leadership.is_leading)
-    gauge('map_changes', lambda: leadership.map_changes)
-    gauge('map_skew', lambda: leadership.skew)
-    gauge('retry_budget_left', core.min_retry_budget)
+    add_gauge = core.metrics.add_gauge
+    add_gauge('in_flight', in_flight)
+    add_gauge('plan_version', lambda: core.plan_version)
+    add_gauge('plan_age_seconds', lambda: _seconds(core.plan_age()))
+    add_gauge('list_age_seconds', lambda: _seconds(feeds.endpoints_age()))
+    add_gauge('endpoints', lambda: len(core.directory))
+    add_gauge('reads_store', lambda: selection.is_reader(core.clock.now()))
+    add_gauge('store_lost', lambda: selection.store_lost)
+    add_gauge('followers', lambda: publisher.followers)
+    add_gauge('groups_standing', core.outages.count_ongoing)
+    add_gauge('leads_groups', lambda: leadership.is_leading)
+    add_gauge('map_changes', lambda: leadership.map_changes)
+    add_gauge('map_skew', lambda: leadership.skew)
+    add_gauge('retry_budget_left', core.min_retry_budget)
 
 
 def _seconds(age: datetime.timedelta | None) -> float:
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -80,7 +80,7 @@
         elif self._leader is not None:
             self._apply(self._leader.receive(message))
 
-    def told(self, request: pb.ReportRequest) -> None:
+    def on_report_request(self, request: pb.ReportRequest) -> None:
         """Take the ranks' addresses and the newest plan from an entry."""
         for rank in request.ranks:
             self._addresses[rank.rank] = (rank.address, rank.port)
--- a/src/aspenfold/_internal/processes/peer_service.py
+++ b/src/aspenfold/_internal/processes/peer_service.py
@@ -8,7 +8,7 @@
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
 
-class FleetHolder(typing.Protocol):
+class FleetProvider(typing.Protocol):
     """What the service needs of the entry."""
 
     def fleet_since(self, have_offset: int) -> pb.FleetReply:
@@ -18,7 +18,7 @@
 class PeerService(rpc.PeerBase):
     """Answers a peer that is cut off from the platform."""
 
-    def __init__(self, *, entry: FleetHolder) -> None:
+    def __init__(self, *, entry: FleetProvider) -> None:
         self._entry = entry
 
     async def Fleet(self, stream: grpclib.server.Stream) -> None:
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -44,7 +44,7 @@
     kernel: entry_kernel.EntryKernel
     clock: clock_module.Clock
     clients: agent_client.AgentClients
-    tasks: tasks_module.Tasks
+    tasks: tasks_module.BackgroundTasks
 
     def apply(self, result: list[actions.Action]) -> None:
         """Carry out the kernel's actions."""
@@ -73,7 +73,7 @@
             new_id=entry.kernel.new_id,
             executor=self._executor,
         )
-        self._host_list = host_list_client.HostListClient(
+        self._host_list_client = host_list_client.HostListClient(
             base_url=cfg.platform.host_list.url
         )
         self._leased_tasks = leased_tasks_module.LeasedTasks(
@@ -82,7 +82,7 @@
             snapshot_interval=cfg.snapshot_interval_ms
             * clock_module.MILLISECOND,
         )
-        self.listing = hosts.HostList(version=0, hosts=[])
+        self.host_list = hosts.HostList(version=0, hosts=[])
 
     def start(self) -> None:
         """Start to follow everything."""
@@ -138,15 +138,15 @@
         lost = False
         while True:
             try:
-                listing = await self._in_thread(self._host_list.read)
+                host_list = await self._in_thread(self._host_list_client.read)
             except exceptions.AspenfoldError as exc:
                 if not lost:
                     events.emit(events.Event.HOST_LIST_LOST, detail=str(exc))
                 lost = True
             else:
                 lost = False
-                self.listing = listing
-                self._kernel.on_host_list(listing)
+                self.host_list = host_list
+                self._kernel.on_host_list(host_list)
             await asyncio.sleep(HOST_LIST_INTERVAL)
 
     async def _do_duties(self) -> None:
@@ -194,7 +194,7 @@
         cfg = self._entry.cfg
         listed = [
             (str(host.address), host.peer_port)
-            for host in self.listing.hosts
+            for host in self.host_list.hosts
             if host.role is hosts.Role.ENTRY
             and host.name != cfg.name
             and host.peer_port
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -35,18 +35,18 @@
         *,
         cfg: settings.RankAgentSettings,
         engine: ports.Forwarder,
-        questions: abc.Collection[bytes],
-        order: bytes,
+        read_targets: abc.Collection[bytes],
+        order_target: bytes,
         clock: clock_module.Clock,
     ) -> None:
-        """Pass on what asks for ``questions`` or posts an ``order``.
+        """Pass on what asks for ``read_targets`` or posts an ``order``.
 
         All else is refused.
         """
         self._cfg = cfg
         self._engine = engine
-        self._questions = questions
-        self._order = order
+        self._read_targets = read_targets
+        self._order_target = order_target
         self._stop = asyncio.Event()
         self._server = http1_server.Server(
             handler=self._handle,
@@ -54,8 +54,8 @@
             limits=lambda: plan.DEFAULT_LIMITS,
         )
         self._in_flight = 0
-        self.passed_on = 0
-        self.silent = 0
+        self.forwarded = 0
+        self.engine_failures = 0
 
     async def run(self) -> None:
         """Serve until told to end."""
@@ -65,7 +65,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self.start()
         await self._stop.wait()
-        await self.finish()
+        await self.drain()
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
 
     async def start(self) -> None:
@@ -85,7 +85,7 @@
             engine=str(self._cfg.engine),
         )
 
-    async def finish(self) -> None:
+    async def drain(self) -> None:
         """Stop serving, once what is under way has been answered.
 
         Connections that wait for a next call are closed: one that came
@@ -108,8 +108,8 @@
         events.emit(
             events.Event.STOPPED,
             name=self._cfg.name,
-            passed_on=self.passed_on,
-            silent=self.silent,
+            passed_on=self.forwarded,
+            silent=self.engine_failures,
         )
 
     def _reload(self) -> None:
@@ -141,7 +141,7 @@
                 engine.host, engine.port, request.target, request.body
             )
         except ports.EngineUnavailable as exc:
-            self.silent += 1
+            self.engine_failures += 1
             events.emit(
                 events.Event.ENGINE_SILENT,
                 target=request.target.decode('latin-1'),
@@ -149,14 +149,14 @@
             )
             answer.abort()
             return
-        self.passed_on += 1
+        self.forwarded += 1
         _answer(answer, status, body)
 
     def _passes_on(self, request: http1_server.Request) -> bool:
         if request.method == b'GET':
-            return request.target in self._questions and not request.body
+            return request.target in self._read_targets and not request.body
         is_order = request.method == b'POST' and bool(request.body)
-        return is_order and request.target == self._order
+        return is_order and request.target == self._order_target
 
 
 def _answer(
--- a/src/aspenfold/_internal/processes/report_poller.py
+++ b/src/aspenfold/_internal/processes/report_poller.py
@@ -29,7 +29,7 @@
     kernel: entry_kernel.EntryKernel
     clock: clock_module.Clock
     clients: agent_client.AgentClients
-    tasks: tasks_module.Tasks
+    tasks: tasks_module.BackgroundTasks
 
 
 class ReportPoller:
--- a/src/aspenfold/_internal/processes/status.py
+++ b/src/aspenfold/_internal/processes/status.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.models import hosts
 from aspenfold._internal.models import settings
 
-STALE_AFTER = datetime.timedelta(seconds=3)
+MAX_REPORT_AGE = datetime.timedelta(seconds=3)
 
 
 class Entry(typing.Protocol):
@@ -21,7 +21,7 @@
     clock: clock_module.Clock
 
     @property
-    def listing(self) -> hosts.HostList:
+    def host_list(self) -> hosts.HostList:
         """The host list as last read."""
 
 
@@ -39,7 +39,7 @@
         'draining': entry.kernel.draining,
         'in_flight': entry.kernel.in_flight,
         'answered': dict(entry.kernel.result_counts),
-        'host_list_version': entry.listing.version,
+        'host_list_version': entry.host_list.version,
         'leases': {
             name: {'holder': lease.holder, 'token': lease.token}
             for name, lease in state.leases.items()
@@ -69,7 +69,7 @@
         'pressure': round(known.pressure, 3),
         'in_flight_here': known.in_flight,
         'reported_seconds_ago': age,
-        'stale': age is None or age > STALE_AFTER.total_seconds(),
+        'stale': age is None or age > MAX_REPORT_AGE.total_seconds(),
         'group': known.host.group,
         'rank': known.host.rank,
         'map_version': known.map_version,
--- a/src/aspenfold/_internal/processes/tasks.py
+++ b/src/aspenfold/_internal/processes/tasks.py
@@ -10,7 +10,7 @@
 Work = abc.Coroutine[typing.Any, typing.Any, typing.Any]
 
 
-class Tasks:
+class BackgroundTasks:
     """Keeps running tasks alive and logs the errors of failed ones."""
 
     def __init__(self) -> None:
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -24,8 +24,8 @@
         agent = rank_agent.RankAgent(
             cfg=cfg,
             engine=engine.EngineClient(),
-            questions=engine.READ_TARGETS,
-            order=engine.ORDER_TARGET,
+            read_targets=engine.READ_TARGETS,
+            order_target=engine.ORDER_TARGET,
             clock=clock.MonotonicClock(),
         )
         await agent.run()
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -115,7 +115,7 @@
 
     async def run() -> None:
         async with gateway_pair() as pair:
-            port = pair.processes[0].news_port
+            port = pair.processes[0].relay_port
             reader, writer = await asyncio.open_connection(
                 f'{NETWORK}.1', port, local_addr=(f'{NETWORK}.77', 0)
             )
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -51,8 +51,8 @@
             ),
         ),
         engine=engine_module.EngineClient(),
-        questions=engine_module.READ_TARGETS,
-        order=engine_module.ORDER_TARGET,
+        read_targets=engine_module.READ_TARGETS,
+        order_target=engine_module.ORDER_TARGET,
         clock=clock.MonotonicClock(),
     )
 
@@ -97,7 +97,7 @@
         answer = await client.order(rigs.LOOPBACK, port, order)
         assert answer is rank_protocol.Answer.ACCEPTED
         assert group.world.ranks[0].held == order.step
-        await running_agent.finish()
+        await running_agent.drain()
         await rank.stop()
 
     asyncio.run(run())
@@ -115,8 +115,8 @@
         await running_agent.start()
         with pytest.raises(ports.EngineUnavailable):
             await call_agent(port, engine_module.REPORT_TARGET)
-        assert running_agent.silent == 1
-        await running_agent.finish()
+        assert running_agent.engine_failures == 1
+        await running_agent.drain()
         await rank.stop()
 
     asyncio.run(run())
@@ -148,7 +148,7 @@
             call_agent(port, engine_module.COUNTS_TARGET)
         )
         await rigs.until(lambda: rank.asked)
-        await running_agent.finish()
+        await running_agent.drain()
         status, _ = await call
         assert status == 200
         assert await asyncio.wait_for(reader.read(), rigs.WAIT_S) == b''
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -575,7 +575,7 @@
         written.append(data)
         return len(data)
 
-    destination = output.Output(write=write, monotonic=lambda: now[0])
+    destination = output.LogDestination(write=write, monotonic=lambda: now[0])
     for _ in range(1000):
         destination({'message_type': 'flood'})
     destination({'message_type': 'rare'})
@@ -591,8 +591,8 @@
     def write(data: bytes) -> int:
         raise BlockingIOError
 
-    destination = output.Output(write=write)
+    destination = output.LogDestination(write=write)
     for number in range(5000):
         destination({'message_type': str(number), 'text': 'x' * 100})
     assert len(destination._pending) <= output.MAX_PENDING_BYTES
-    assert destination.left_out > 0
+    assert destination.dropped_lines > 0
--- a/tools/write_tables.py
+++ b/tools/write_tables.py
@@ -39,7 +39,7 @@
         outcome = failure.outcome.value if code < 4000 else '-'
         lines.append(
             f'| {int(code)} | {code.name} | {status} | {outcome} '
-            f'| {exceptions.MEANING[code]} |'
+            f'| {exceptions.DESCRIPTIONS[code]} |'
         )
     return '\n'.join(lines) + '\n'
 
@@ -62,7 +62,7 @@
     ]
     for event in sorted(events.Event):
         lines.append(
-            f'| {int(event)} | {event.name} | {events.MEANING[event]} |'
+            f'| {int(event)} | {event.name} | {events.DESCRIPTIONS[event]} |'
         )
     return '\n'.join(lines) + '\n'
 
