--- a/src/aspenfold/_internal/admission/lanes.py
+++ b/src/aspenfold/_internal/admission/lanes.py
@@ -57,10 +57,13 @@
     larger capacity.
     """
     bound = MAX_LANE_PRESSURE[priority]
-    if priority is fleet.Priority.INTERACTIVE or not pressure.urgent:
+    if (
+        priority is fleet.Priority.INTERACTIVE
+        or not pressure.interactive_fraction
+    ):
         return bound
     reserved = RESERVED_DEVIATIONS * math.sqrt(
-        pressure.urgent / max(1, pressure.capacity)
+        pressure.interactive_fraction / max(1, pressure.capacity)
     )
     return min(bound, 1.0 - MIN_RESERVED_FRACTION - reserved)
 
--- a/src/aspenfold/_internal/admission/limiter.py
+++ b/src/aspenfold/_internal/admission/limiter.py
@@ -25,7 +25,7 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._updated = now
+        self._updated_at = now
 
     def set_rate(self, rate: float, burst: float) -> None:
         """Change the rate and burst; excess tokens are discarded."""
@@ -35,8 +35,8 @@
 
     def take(self, now: datetime.datetime) -> datetime.timedelta | None:
         """Take a token and return None, or return the wait for one."""
-        elapsed = max(0.0, (now - self._updated) / ONE_SECOND)
-        self._updated = max(now, self._updated)
+        elapsed = max(0.0, (now - self._updated_at) / ONE_SECOND)
+        self._updated_at = max(now, self._updated_at)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
         if self._tokens >= 1:
             self._tokens -= 1
@@ -67,7 +67,7 @@
         self, organisation: fleet.Organisation, now: datetime.datetime
     ) -> exceptions.Failure | None:
         """Count a request and return None, or return why it is refused."""
-        usage = self._updated_usage(organisation, now)
+        usage = self._usage_for(organisation, now)
         allowed = max(1, int(usage.limits.in_flight * usage.share))
         if usage.in_flight >= allowed:
             return exceptions.Failure(
@@ -94,7 +94,7 @@
         if usage is not None and usage.in_flight > 0:
             usage.in_flight -= 1
 
-    def _updated_usage(
+    def _usage_for(
         self, organisation: fleet.Organisation, now: datetime.datetime
     ) -> _Usage:
         usage = self._usage.get(organisation.name)
--- a/src/aspenfold/_internal/admission/policy.py
+++ b/src/aspenfold/_internal/admission/policy.py
@@ -16,14 +16,14 @@
     """The load of a service, as known to this entry.
 
     ``mean`` is the mean pressure of its endpoints; at 1.0 all slots are in
-    use.  ``capacity`` is the number of their slots, ``urgent`` the fraction
-    of them that interactive calls have used recently.  ``service_time`` is
-    a moving average.
+    use.  ``capacity`` is the number of their slots, and
+    ``interactive_fraction`` the fraction of them that interactive calls
+    have used recently.  ``service_time`` is a moving average.
     """
 
     mean: float
     capacity: int
-    urgent: float
+    interactive_fraction: float
     service_time: datetime.timedelta
 
 
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -332,7 +332,9 @@
         return admission_policy.Pressure(
             mean=mean,
             capacity=capacity,
-            urgent=self._interactive_fraction(call.service, capacity),
+            interactive_fraction=self._interactive_fraction(
+                call.service, capacity
+            ),
             service_time=self._service_time.get(
                 call.service, INITIAL_SERVICE_TIME
             ),
--- a/src/aspenfold/_internal/expertmaps/descent.py
+++ b/src/aspenfold/_internal/expertmaps/descent.py
@@ -97,10 +97,10 @@
 
     def apply_best_move(self, min_gain: float) -> bool:
         """Apply the best move; return False if none gains ``min_gain``."""
-        found = self.best_move(min_gain)
-        if found is None:
+        best = self.best_move(min_gain)
+        if best is None:
             return False
-        self.apply(found[1])
+        self.apply(best[1])
         return True
 
     def best_move(self, min_gain: float) -> tuple[float, Move] | None:
@@ -311,7 +311,7 @@
 
 
 @registry.register(planner.KIND, 'descent')
-class Descent:
+class DescentPlanner:
     """Plans by applying the moves that reduce the norm of the loads most."""
 
     def plan(
--- a/src/aspenfold/_internal/expertmaps/greedy.py
+++ b/src/aspenfold/_internal/expertmaps/greedy.py
@@ -16,8 +16,9 @@
 MAX_HOT_EXPERTS = 12
 """Heaviest replicas of the hottest rank that are tried in a move."""
 
-SKEW_GAIN_PER_MOVE = 0.002
-"""Skew that each moved weight must save if both prices are 1."""
+MIN_SKEW_GAIN = 0.002
+"""Skew, multiplied by the number of ranks, that each moved weight must save if
+both prices are 1."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -99,7 +100,7 @@
 
 
 @registry.register(planner.KIND, 'greedy')
-class GreedyMoves:
+class GreedyPlanner:
     """Plans by relieving the hottest rank, one move at a time."""
 
     def plan(
@@ -139,7 +140,7 @@
     reduce the skew yet.  Far above the bound, every move is worth it.
     """
     far_above_bound = draft.skew() > 1 + (price.skew_bound - 1) * 2
-    cost = move.weights * price.moved_weights * SKEW_GAIN_PER_MOVE
+    cost = move.weights * price.moved_weights * MIN_SKEW_GAIN
     return far_above_bound or saved * price.skew * len(draft.totals) >= cost
 
 
--- a/src/aspenfold/_internal/expertmaps/leader_machine.py
+++ b/src/aspenfold/_internal/expertmaps/leader_machine.py
@@ -66,7 +66,7 @@
             return []
         self._newest_version = version
         self._placement = placement
-        return self._prepare_missing() if self._all_promised else []
+        return self._missing_prepare_messages() if self._all_promised else []
 
     def tick(self, now: datetime.datetime) -> list[messages.Action]:
         """Recruit ranks, repeat unanswered messages and check idle ranks."""
@@ -83,7 +83,9 @@
                 for rank in range(self.ranks)
                 if rank not in self._members
             ]
-        result = self._prepare_missing() + self._resend_grants()
+        result = (
+            self._missing_prepare_messages() + self._missing_grant_messages()
+        )
         result.extend(self._grant_next())
         if not result and self._is_heartbeat_due(now):
             result = [
@@ -127,20 +129,21 @@
         self._resend_at = None
 
     def _on_rejected(self, message: messages.Message) -> list[messages.Action]:
-        known = self._members.get(message.sender)
-        ahead = messages.ballot_counter(message.ballot)
-        if message.ballot != self.ballot and ahead >= messages.ballot_counter(
-            self.ballot
+        member = self._members.get(message.sender)
+        counter = messages.ballot_counter(message.ballot)
+        if (
+            message.ballot != self.ballot
+            and counter >= messages.ballot_counter(self.ballot)
         ):
             self._raise_ballot(message.ballot)
-        elif known is not None and known.incarnation != message.incarnation:
+        elif member is not None and member.incarnation != message.incarnation:
             self._raise_ballot(self.ballot)
         return []
 
     def _on_promised(self, message: messages.Message) -> list[messages.Action]:
-        known = self._members.get(message.sender)
-        if known is not None:
-            if known.incarnation != message.incarnation:
+        member = self._members.get(message.sender)
+        if member is not None:
+            if member.incarnation != message.incarnation:
                 self._raise_ballot(self.ballot)
             return []
         self._members[message.sender] = _Member(
@@ -152,7 +155,7 @@
         if not self._all_promised:
             return []
         self._skip_earlier_grants()
-        return self._prepare_missing() + self._grant_next()
+        return self._missing_prepare_messages() + self._grant_next()
 
     def _skip_earlier_grants(self) -> None:
         """Choose the first step so that no step is granted twice.
@@ -174,14 +177,14 @@
         Only :meth:`tick` repeats unconfirmed grants, since this is called
         for each answer.
         """
-        if self._resend_grants():
+        if self._missing_grant_messages():
             return []
         slowest = min(member.step for member in self._members.values())
         self._runs = [run for run in self._runs if run.last > slowest]
         remaining = sum(
             run.last - max(run.first - 1, slowest) for run in self._runs
         )
-        version = self._prepared_by_all()
+        version = self._newest_prepared_by_all()
         if not version or remaining >= MIN_GRANTED_STEPS_AHEAD:
             return []
         run = messages.StepRun(
@@ -196,13 +199,13 @@
             for rank in range(self.ranks)
         ]
 
-    def _prepared_by_all(self) -> int:
+    def _newest_prepared_by_all(self) -> int:
         shared = set.intersection(
             *(member.prepared for member in self._members.values())
         )
         return max(shared, default=0)
 
-    def _prepare_missing(self) -> list[messages.Action]:
+    def _missing_prepare_messages(self) -> list[messages.Action]:
         return [
             self._send(
                 Kind.PREPARE,
@@ -214,8 +217,8 @@
             if self._newest_version not in member.prepared
         ]
 
-    def _resend_grants(self) -> list[messages.Action]:
-        """Return grants of the runs that a rank neither finished nor took."""
+    def _missing_grant_messages(self) -> list[messages.Action]:
+        """Return grants of runs that a rank has neither finished nor taken."""
         result: list[messages.Action] = []
         for rank, member in self._members.items():
             missing = tuple(
--- a/src/aspenfold/_internal/expertmaps/map_switch.py
+++ b/src/aspenfold/_internal/expertmaps/map_switch.py
@@ -178,7 +178,7 @@
         self.pass_rate = 0.0
         self._token = first_token
         self._new_map: rank_protocol.Map = ()
-        self._pass = 0
+        self._switch_pass = 0
         self._hold_attempts = 0
         self._unanswered: dict[int, _SentOrder] = {}
         self._reports: dict[int, rank_protocol.Report] = {}
@@ -336,27 +336,30 @@
             and self._hold_attempts < MAX_HOLD_ATTEMPTS
         ):
             # The pass has begun; hold a later one.  No rank is armed yet.
-            self._pass += max(self._hold_lead(), self._hold_attempts)
+            self._switch_pass += max(self._hold_lead(), self._hold_attempts)
             return self._hold(now)
         return self.roll_back(now)
 
     def _arm(self, now: datetime.datetime) -> list[Action]:
         self._enter(State.ARM, now)
         return self._send_all(
-            rank_protocol.Op.ARM, now, version=self._token, step=self._pass
+            rank_protocol.Op.ARM,
+            now,
+            version=self._token,
+            step=self._switch_pass,
         )
 
     def _release(self, state: State, now: datetime.datetime) -> list[Action]:
         self._enter(state, now)
         return self._send(
-            HOLD_RANK, rank_protocol.Op.RELEASE, now, step=self._pass
+            HOLD_RANK, rank_protocol.Op.RELEASE, now, step=self._switch_pass
         )
 
     def _hold(self, now: datetime.datetime) -> list[Action]:
         self._hold_attempts += 1
         self._enter(State.HOLD, now)
         return self._send(
-            HOLD_RANK, rank_protocol.Op.HOLD, now, step=self._pass
+            HOLD_RANK, rank_protocol.Op.HOLD, now, step=self._switch_pass
         )
 
     def _on_rollback_reports(self, now: datetime.datetime) -> list[Action]:
@@ -380,7 +383,7 @@
             self.version = self._reports[HOLD_RANK].version
             self._enter(State.READY, now)
             return []
-        self._pass = held
+        self._switch_pass = held
         if not armed:
             return self._release(State.RELEASE, now)
         self._enter(State.DISARM, now)
@@ -401,7 +404,9 @@
         if any(r.prepared != self._token for r in self._reports.values()):
             return []
         # Not a pass that was held before: a late RELEASE might release it.
-        self._pass = max(self._pass + 1, self.step + self._hold_lead())
+        self._switch_pass = max(
+            self._switch_pass + 1, self.step + self._hold_lead()
+        )
         self._hold_attempts = 0
         return self._hold(now)
 
@@ -434,7 +439,7 @@
         ):
             # An unanswered HOLD was carried out late.
             return self._release(State.RELEASE_ARMED, now)
-        if report.step > self._pass + self._lagging_hold_lead():
+        if report.step > self._switch_pass + self._lagging_hold_lead():
             # Unexpected: the pass has begun without the new map.
             return self.roll_back(now)
         return []
--- a/src/aspenfold/_internal/expertmaps/rank_machine.py
+++ b/src/aspenfold/_internal/expertmaps/rank_machine.py
@@ -37,7 +37,7 @@
         self.promised_ballot = 0
         self.step = step
         self.map_in_use = 0
-        self._granted_to = -1
+        self._last_granted_step = -1
         self._runs: set[messages.StepRun] = set()
         self._ordered_runs: set[messages.StepRun] = set()
         self._prepared: set[int] = set(prepared)
@@ -70,7 +70,9 @@
         self, token: int, last_granted_step: int, step: int
     ) -> list[messages.Action]:
         """Handle a reset of the engine's grants; promise the ballot."""
-        self._granted_to = max(self._granted_to, last_granted_step)
+        self._last_granted_step = max(
+            self._last_granted_step, last_granted_step
+        )
         self.step = max(self.step, step)
         if token != self.promised_ballot:
             return []
@@ -87,7 +89,7 @@
         self, run: messages.StepRun, token: int
     ) -> list[messages.Action]:
         """Handle that the engine took a run."""
-        self._granted_to = max(self._granted_to, run.last)
+        self._last_granted_step = max(self._last_granted_step, run.last)
         if token != self.promised_ballot:
             return []
         self._runs.add(run)
@@ -227,7 +229,7 @@
                 version=version,
                 runs=tuple(sorted(self._runs)),
                 prepared=tuple(sorted(self._prepared)),
-                last_granted_step=self._granted_to,
+                last_granted_step=self._last_granted_step,
                 step=self.step,
             )
         )
--- a/src/aspenfold/_internal/expertmaps/stage_planner.py
+++ b/src/aspenfold/_internal/expertmaps/stage_planner.py
@@ -44,14 +44,14 @@
         load factor for each rank.  ``max_copies_per_rank`` limits the new
         experts of a rank over all sets.
         """
-        left = [max_copies_per_rank] * shape.ranks
+        copy_budget = [max_copies_per_rank] * shape.ranks
         self.drafts = [
             descent.PlacementDraft(
                 shape=shape,
                 placement=placement,
                 load=load,
                 slowdowns=slowdowns,
-                copy_budget=left,
+                copy_budget=copy_budget,
             )
             for load, placement in zip(loads_by_set, current, strict=True)
         ]
@@ -80,8 +80,8 @@
             yield
 
     def _update_best(self, set_index: int) -> None:
-        found = self.drafts[set_index].best_move(MIN_SKEW_GAIN)
-        if found is None:
+        best = self.drafts[set_index].best_move(MIN_SKEW_GAIN)
+        if best is None:
             self._best_moves.pop(set_index, None)
             return
-        self._best_moves[set_index] = _BestMove(gain=found[0], move=found[1])
+        self._best_moves[set_index] = _BestMove(gain=best[0], move=best[1])
--- a/src/aspenfold/_internal/expertmaps/sticky.py
+++ b/src/aspenfold/_internal/expertmaps/sticky.py
@@ -15,8 +15,9 @@
 """Rank loads, relative to the mean, up to which replicas stay in place.  One
 plan is made for each."""
 
-SKEW_PRICE = 400.0
-"""Moved weights per rank that cost as much as a skew of 1 above the bound."""
+WEIGHTS_PER_SKEW = 400.0
+"""Moved weights per rank that cost as much as a skew of 1 above the bound, if
+both prices are 1."""
 
 
 def adjust_replicas(
@@ -90,11 +91,11 @@
 
 
 @registry.register(planner.KIND, 'priced')
-class PricedPlan:
+class PricedPlanner:
     """Makes several plans and takes the cheapest at the fleet's prices."""
 
     def __init__(self) -> None:
-        self._greedy = greedy.GreedyMoves()
+        self._greedy = greedy.GreedyPlanner()
 
     def plan(
         self,
@@ -130,6 +131,6 @@
     excess = max(0.0, planner.skew(plan, load) - price.skew_bound)
     weights = planner.moved_weights(current, plan)
     return (
-        excess * price.skew * SKEW_PRICE * shape.ranks
+        excess * price.skew * WEIGHTS_PER_SKEW * shape.ranks
         + weights * price.moved_weights
     )
--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -48,8 +48,8 @@
         change since then of this entry's own calls is added.
         """
         reported = self.load.running + self.load.waiting
-        change = self.in_flight - self.in_flight_at_report
-        return max(reported + change, self.in_flight) / max(
+        count_change = self.in_flight - self.in_flight_at_report
+        return max(reported + count_change, self.in_flight) / max(
             1, self.load.capacity
         )
 
--- a/src/aspenfold/_internal/membership/view.py
+++ b/src/aspenfold/_internal/membership/view.py
@@ -24,8 +24,8 @@
 when there are many endpoints."""
 
 REPORT_TIMEOUT_INTERVALS = 4
-"""Report intervals without a report after which an endpoint is not routable.
-"""
+"""Report intervals without a report after which an endpoint gets no new
+requests."""
 
 OWN_ZONE_SUBSET_SIZE = 48
 """Endpoints of a service that an entry watches in its own zone."""
@@ -166,7 +166,7 @@
     def is_leaving(self, name: str) -> bool:
         """Return whether the endpoint is leaving or unknown."""
         endpoint = self._endpoints.get(name)
-        return endpoint is None or self._leaving(endpoint)
+        return endpoint is None or self._is_leaving(endpoint)
 
     def drain_order(self, name: str, newest: int) -> frames.DrainOrder:
         """Return the drain order for the endpoint's agent.
@@ -195,10 +195,10 @@
             and (
                 endpoint.ejected_until is None or endpoint.ejected_until <= now
             )
-            and not self._leaving(endpoint)
+            and not self._is_leaving(endpoint)
         ]
 
-    def _leaving(self, endpoint: endpoint_module.Endpoint) -> bool:
+    def _is_leaving(self, endpoint: endpoint_module.Endpoint) -> bool:
         return (
             endpoint.load.draining
             or endpoint.host.state is hosts.HostState.LEAVING
--- a/src/aspenfold/_internal/retries/shared_budget.py
+++ b/src/aspenfold/_internal/retries/shared_budget.py
@@ -8,15 +8,15 @@
 import dataclasses
 
 ASSUMED_GATEWAYS = 40
-"""Number of gateways, or more, among which the fixed part of the limit is
-divided."""
+"""Upper bound of the number of gateways.  Each one gets an equal part of the
+limit's fixed part."""
 
 USED_RATIO_FRACTION = 0.8
 """Fraction of the allowed ratio that is used.  The rest covers tokens that
 were earned before a window, since load may fall."""
 
-MIN_BURST = 1.0
-"""Lower bound of the largest number of saved tokens."""
+MIN_CAPACITY = 1.0
+"""Smallest capacity of the bucket, in tokens."""
 
 INITIAL_TOKENS = 1.0
 """Tokens of a new process; few, since many processes may start in one
@@ -37,9 +37,9 @@
     _tokens: float = INITIAL_TOKENS
 
     @property
-    def burst(self) -> float:
-        """Largest number of saved tokens."""
-        return max(MIN_BURST, self.slack / ASSUMED_GATEWAYS)
+    def capacity(self) -> float:
+        """Capacity of the bucket, in tokens."""
+        return max(MIN_CAPACITY, self.slack / ASSUMED_GATEWAYS)
 
     @property
     def available(self) -> float:
@@ -49,7 +49,7 @@
     def record_request(self) -> None:
         """Count a caller's request, which adds tokens."""
         earned = self.ratio * USED_RATIO_FRACTION
-        self._tokens = min(self.burst, self._tokens + earned)
+        self._tokens = min(self.capacity, self._tokens + earned)
 
     def take(self) -> bool:
         """Take a token for an attempt; return False if there is none."""
--- a/src/aspenfold/_internal/routing/least_loaded.py
+++ b/src/aspenfold/_internal/routing/least_loaded.py
@@ -25,7 +25,7 @@
         self,
         candidates: abc.Sequence[policy.C],
         prefix: str,
-        urgent: bool,
+        interactive: bool,
     ) -> policy.C:
         """Return the candidate with the lowest pressure."""
         return min(
--- a/src/aspenfold/_internal/routing/policy.py
+++ b/src/aspenfold/_internal/routing/policy.py
@@ -40,13 +40,13 @@
         self,
         candidates: abc.Sequence[C],
         prefix: str,
-        urgent: bool,
+        interactive: bool,
     ) -> C:
         """Return one of ``candidates``, which must not be empty.
 
         ``prefix`` is a hash of the start of the prompt, empty if unknown;
         requests with the same prefix benefit from one endpoint's prefix
-        cache.  ``urgent`` is set for interactive requests, which should
+        cache.  ``interactive`` is set for interactive requests, which should
         start without waiting.
         """
 
--- a/src/aspenfold/_internal/routing/random_choice.py
+++ b/src/aspenfold/_internal/routing/random_choice.py
@@ -18,7 +18,7 @@
         self,
         candidates: abc.Sequence[policy.C],
         prefix: str,
-        urgent: bool,
+        interactive: bool,
     ) -> policy.C:
         """Return a random candidate."""
         return self._rng.choice(candidates)
--- a/src/aspenfold/_internal/routing/round_robin.py
+++ b/src/aspenfold/_internal/routing/round_robin.py
@@ -19,7 +19,7 @@
         self,
         candidates: abc.Sequence[policy.C],
         prefix: str,
-        urgent: bool,
+        interactive: bool,
     ) -> policy.C:
         """Return the next candidate."""
         return candidates[next(self._counter) % len(candidates)]
--- a/src/aspenfold/_internal/routing/two_choices.py
+++ b/src/aspenfold/_internal/routing/two_choices.py
@@ -10,7 +10,7 @@
 SPILL_PRESSURE = 0.8
 """Mean pressure of the own zone above which other zones get requests too."""
 
-URGENT_SAMPLE_SIZE = 8
+INTERACTIVE_SAMPLE_SIZE = 8
 """Random choices for an interactive request, which needs a free slot.  With
 many more, all entries would choose the same idle endpoint."""
 
@@ -25,7 +25,7 @@
 
 @registry.register(policy.KIND, 'two-choices')
 class TwoChoices:
-    """Chooses a prefix's home endpoint, or the less loaded of two others.
+    """Chooses a prefix's home endpoint, or the less loaded of two random ones.
 
     The home is the endpoint with the highest rendezvous score for the
     prefix.  It is used while its pressure is within the limit.
@@ -39,7 +39,7 @@
         self,
         candidates: abc.Sequence[policy.C],
         prefix: str,
-        urgent: bool,
+        interactive: bool,
     ) -> policy.C:
         """Return the prefix's home or the least loaded of a random sample."""
         pool = self._zone_candidates(candidates)
@@ -47,13 +47,13 @@
             home = self._home(pool, prefix)
             if home.pressure <= self._max_home_pressure(pool):
                 return home
-        if not urgent:
+        if not interactive:
             return self._least_loaded(pool, 2)
-        chosen = self._least_loaded(pool, URGENT_SAMPLE_SIZE)
+        chosen = self._least_loaded(pool, INTERACTIVE_SAMPLE_SIZE)
         if chosen.has_free_slot:
             return chosen
         # Crossing zones takes less time than waiting for a slot.
-        return self._least_loaded(candidates, URGENT_SAMPLE_SIZE)
+        return self._least_loaded(candidates, INTERACTIVE_SAMPLE_SIZE)
 
     def _zone_candidates(
         self, candidates: abc.Sequence[policy.C]
--- a/src/aspenfold/_internal/routing/zone_first.py
+++ b/src/aspenfold/_internal/routing/zone_first.py
@@ -31,7 +31,7 @@
         self,
         candidates: abc.Sequence[policy.C],
         prefix: str,
-        urgent: bool,
+        interactive: bool,
     ) -> policy.C:
         """Return the least loaded candidate of the own zone or of all."""
         own_zone = [c for c in candidates if c.zone == self._zone]
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -275,7 +275,7 @@
 
 def ignore_leaving(patch: Patch) -> None:
     """Neither entries nor agents heed that an endpoint leaves."""
-    patch.setattr(view.EndpointView, '_leaving', lambda self, known: False)
+    patch.setattr(view.EndpointView, '_is_leaving', lambda self, known: False)
     patch.setattr(
         agent_kernel.AgentKernel, 'drain_permanently', lambda self: None
     )
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -565,7 +565,7 @@
     )
     load = [rng.paretovariate(1.0) for _ in range(24)]
     current = [[e for e in range(24) if e % 8 == r] for r in range(8)]
-    plan = descent.Descent().plan(shape, load, current, PRICE)
+    plan = descent.DescentPlanner().plan(shape, load, current, PRICE)
     assert {e for experts in plan for e in experts} == set(range(24))
     for before, after in zip(current, plan, strict=True):
         assert len(after) <= 4
@@ -583,7 +583,7 @@
     for seed in range(20):
         load = [1 / (i + 1) ** 1.1 for i in range(64)]
         random.Random(seed).shuffle(load)
-        plan = descent.Descent().plan(shape, load, current, PRICE)
+        plan = descent.DescentPlanner().plan(shape, load, current, PRICE)
         assert planner.skew(plan, load) < 1.25
 
 
