--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -1,4 +1,4 @@
-"""The agent's kernel as a state machine: the last gate (P3, P4)."""
+"""State machine test of the agent kernel: at most one run (P3, P4)."""
 
 import datetime
 
@@ -12,14 +12,14 @@
 from aspenfold._internal import exceptions
 from aspenfold._internal.kernel import frames
 
-TICKET_LIFE = datetime.timedelta(minutes=10)
+TICKET_LIFETIME = datetime.timedelta(minutes=10)
 TICKETED = frozenset('cd')
 ATTEMPTS = st.sampled_from(['a', 'b', 'c', 'd'])
 Outcome = exceptions.Outcome
 
 
 class AttemptMachine(stateful.RuleBasedStateMachine):
-    """Legs come and go in any order; the endpoint answers or fails."""
+    """Streams open and close in any order; the endpoint answers or fails."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,8 +30,8 @@
         self.stream_id = 0
         self.expires: dict[str, datetime.datetime] = {}
         self.deadlines: dict[str, datetime.datetime] = {}
-        self.handed: list[str] = []
-        self.denied: set[str] = set()
+        self.sent: list[str] = []
+        self.reported_not_run: set[str] = set()
         self.open_streams: set[int] = set()
         self.unfinished: set[str] = set()
 
@@ -39,22 +39,22 @@
         for action in result:
             match action:
                 case actions.CallEndpoint(request=request):
-                    self.handed.append(request.attempt_id)
+                    self.sent.append(request.attempt_id)
                     self.unfinished.add(request.attempt_id)
                 case actions.CloseAnswerStream(stream_id=stream_id):
                     self.open_streams.discard(stream_id)
                 case actions.Send(stream_id=stream_id, frame=frame):
                     assert stream_id in self.open_streams
-                    self._note(frame)
+                    self._record_refusal(frame)
 
-    def _note(self, frame: frames.Frame) -> None:
+    def _record_refusal(self, frame: frames.Frame) -> None:
         if not isinstance(frame.body, frames.Failed):
             return
         failure = frame.body.failure
         if failure.code is exceptions.Code.KEY_REUSED:
             return
         if failure.outcome is Outcome.NOT_RUN:
-            self.denied.add(frame.attempt_id)
+            self.reported_not_run.add(frame.attempt_id)
 
     @stateful.rule(
         attempt=ATTEMPTS,
@@ -74,14 +74,16 @@
         """An entry sends or joins an attempt."""
         deadline = self.now + deadline_ms * sim_module.MS
         if attempt in TICKETED:
-            # Sent with each submission's deadline, in the ticket's life.
+            # Each submission has its own deadline within the ticket's life.
             mode = frames.Mode.RUN
-            expires = self.expires.setdefault(attempt, self.now + TICKET_LIFE)
+            expires = self.expires.setdefault(
+                attempt, self.now + TICKET_LIFETIME
+            )
             if self.now > expires:
                 return
             deadline = min(deadline, expires)
         else:
-            # A claim fixes its attempt's deadline.
+            # The deadline of a claimed attempt is that in the claim.
             deadline = self.deadlines.setdefault(attempt, deadline)
         self.stream_id += 1
         self.open_streams.add(self.stream_id)
@@ -104,7 +106,7 @@
 
     @stateful.rule(data=st.data())
     def close(self, data: st.DataObject) -> None:
-        """A reader goes away."""
+        """The reader of an answer stream disconnects."""
         if self.open_streams:
             stream_id = data.draw(st.sampled_from(sorted(self.open_streams)))
             self.open_streams.discard(stream_id)
@@ -112,7 +114,7 @@
 
     @stateful.rule(attempt=ATTEMPTS, size=st.integers(0, 30))
     def answer(self, attempt: str, size: int) -> None:
-        """The endpoint answers whole."""
+        """The endpoint answers completely."""
         if attempt not in self.unfinished:
             return
         self.unfinished.discard(attempt)
@@ -120,7 +122,7 @@
         self._apply(self.kernel.on_endpoint_ended(attempt, self.now))
 
     @stateful.rule(attempt=ATTEMPTS)
-    def lose(self, attempt: str) -> None:
+    def lose_answer(self, attempt: str) -> None:
         """The endpoint's answer is lost."""
         if attempt not in self.unfinished:
             return
@@ -138,25 +140,25 @@
 
     @stateful.rule()
     def forget(self) -> None:
-        """So much time passes that finished attempts are forgotten."""
+        """Enough time passes for finished attempts to be forgotten."""
         self.now += agent_kernel.ATTEMPT_RETENTION + datetime.timedelta(
             seconds=10
         )
         self._apply(self.kernel.tick(self.now))
 
     @stateful.invariant()
-    def handed_once(self) -> None:
-        """No attempt is handed to the endpoint twice."""
-        assert len(self.handed) == len(set(self.handed))
+    def sent_at_most_once(self) -> None:
+        """No attempt is sent to the endpoint twice."""
+        assert len(self.sent) == len(set(self.sent))
 
     @stateful.invariant()
-    def denied_never_handed(self) -> None:
-        """What was told "not run" is in no endpoint, before or later."""
-        assert not self.denied & set(self.handed)
+    def not_run_is_never_sent(self) -> None:
+        """No attempt that was reported "not run" is sent to the endpoint."""
+        assert not self.reported_not_run & set(self.sent)
 
     @stateful.invariant()
-    def counts_are_right(self) -> None:
-        """The load counts what the endpoint has."""
+    def running_count_is_correct(self) -> None:
+        """The kernel counts the attempts that the endpoint runs."""
         assert self.kernel.running == len(self.unfinished)
 
 
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -1,4 +1,4 @@
-"""What a long-lived process remembers does not grow with its work."""
+"""The state of a long-lived process does not grow with its work."""
 
 import datetime
 
@@ -9,11 +9,11 @@
 from aspenfold._internal.attempts import kernel as agent_kernel
 from aspenfold._internal.kernel import frames
 
-FEW = 8
+MAX_UNFINISHED_RUNS = 8
 
 
-def test_a_groups_machines_forget_finished_runs() -> None:
-    """Leader and ranks keep only runs that are not finished."""
+def test_group_machines_forget_finished_runs() -> None:
+    """Leader and ranks keep only unfinished runs."""
     world = group_world.GroupWorld(seed=1)
     world.put_plan(5)
     world.sim.run(20_000)
@@ -21,13 +21,13 @@
     leader = world.agents[0].leader
     assert leader is not None
     for member in leader._members.values():
-        assert len(member.runs) < FEW
+        assert len(member.runs) < MAX_UNFINISHED_RUNS
     for agent in world.agents:
-        assert len(agent.machine._ordered_runs) < FEW
+        assert len(agent.machine._ordered_runs) < MAX_UNFINISHED_RUNS
 
 
-def test_an_agent_forgets_attempts_past_their_time() -> None:
-    """Attempts, and the order in which they finished."""
+def test_agent_forgets_attempts_after_their_retention() -> None:
+    """The agent forgets attempts, and the order in which they finished."""
     kernel = agent_kernel.AgentKernel(
         incarnation='me', capacity=2, answer_memory=1 << 20
     )
--- a/tests/unit/test_claim_machine.py
+++ b/tests/unit/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Claim folds agree whatever pages they read, and know what they missed."""
+"""Claim tables agree on holders, or know that they miss claims."""
 
 import datetime
 
@@ -13,30 +13,30 @@
 
 WINDOW = datetime.timedelta(seconds=60)
 STREAM = 'claims-0'
-FOLDS = st.integers(0, 2)
+TABLES = st.integers(0, 2)
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Entries claim keys from what they have read; readers restart."""
+    """Entries claim keys by their own tables; readers restart."""
 
     def __init__(self) -> None:
         super().__init__()
         self.log = fake_log.FakeLog()
         self.now = sim_module.START
-        self.folds = [table.ClaimTable(window=WINDOW) for _ in range(3)]
+        self.tables = [table.ClaimTable(window=WINDOW) for _ in range(3)]
         self.number = 0
         self.claimed_at: dict[str, datetime.datetime] = {}
         self.holders: dict[tuple[int, str], str] = {}
 
     @stateful.rule(
-        who=FOLDS,
+        who=TABLES,
         key=st.sampled_from(['k', 'l']),
         supersede=st.booleans(),
     )
     def claim(self, who: int, key: str, supersede: bool) -> None:
-        """An entry claims a key by its own view."""
+        """An entry claims a key by its own table."""
         self.number += 1
-        holder = self.folds[who].holder(key)
+        holder = self.tables[who].holder(key)
         prior = holder.claim.attempt_id if holder and supersede else ''
         self.claimed_at[f'attempt-{self.number}'] = self.now
         claim = records.Claim(
@@ -58,10 +58,10 @@
             ),
         )
 
-    @stateful.rule(who=FOLDS, limit=st.integers(1, 3))
+    @stateful.rule(who=TABLES, limit=st.integers(1, 3))
     def read(self, who: int, limit: int) -> None:
         """An entry reads a page."""
-        known = self.folds[who]
+        known = self.tables[who]
         known.apply_page(
             self.log.read(STREAM, known.position, limit), self.now
         )
@@ -71,14 +71,14 @@
         """Time passes."""
         self.now += datetime.timedelta(seconds=seconds)
 
-    @stateful.rule(who=FOLDS)
+    @stateful.rule(who=TABLES)
     def restart(self, who: int) -> None:
-        """A fresh entry starts to read."""
-        self.folds[who] = table.ClaimTable(window=WINDOW)
+        """A new entry starts to read."""
+        self.tables[who] = table.ClaimTable(window=WINDOW)
 
     @stateful.rule(keep=st.integers(0, 6))
     def trim(self, keep: int) -> None:
-        """Claims expire, perhaps before their time."""
+        """Claims are trimmed, possibly before they expire."""
         self.log.trim(STREAM, keep)
 
     def expired(self) -> set[str]:
@@ -90,13 +90,13 @@
         }
 
     @stateful.invariant()
-    def judgeable_folds_agree(self) -> None:
-        """Folds that may judge name one holder at one position.
+    def complete_tables_agree(self) -> None:
+        """Tables that have all claims agree on the holder at a position.
 
-        A holder older than the window may be forgotten or not: the next
-        claim's time decides, alike for all readers.
+        A holder older than the window may still be kept: holders expire
+        by the times of later claims.
         """
-        for known in self.folds:
+        for known in self.tables:
             if not known.has_all_claims(self.now):
                 continue
             for key in ('k', 'l'):
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""P7 as a state machine: all readers agree and none goes back."""
+"""State machine test of P7: readers agree and none goes back."""
 
 import typing
 
@@ -24,7 +24,7 @@
 
 
 class FleetMachine(stateful.RuleBasedStateMachine):
-    """Operators race, records expire, readers start, lag and exchange."""
+    """Operators race; records expire; readers lag, restart, share states."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,16 +39,16 @@
     def _append(self, record: records.Record) -> None:
         self.log.append(STREAM, record)
         page = self.log.read(STREAM, self.reference.position)
-        for judged in self.reference.apply_page(page):
-            body = judged.record.body
-            accepted = judged.verdict is reducer.Verdict.ACCEPTED
+        for applied in self.reference.apply_page(page):
+            body = applied.record.body
+            accepted = applied.verdict is reducer.Verdict.ACCEPTED
             if body['type'] == 'config' and accepted:
                 base = body['base_version']
                 self.winners[base] = self.winners.get(base, 0) + 1
 
     @stateful.rule(who=READERS, name=st.sampled_from('abcdef'))
     def apply(self, who: int, name: str) -> None:
-        """An operator applies from what one reader shows it."""
+        """An operator applies a change based on one reader's state."""
         state = self.readers[who].state
         old = state.document
         new = operators.named(fleets.document(), name)
@@ -59,7 +59,7 @@
 
     @stateful.rule(holder=READERS)
     def lease(self, holder: int) -> None:
-        """An entry asks for the snapshot lease."""
+        """An entry requests the snapshot lease."""
         self.number += 1
         token = self.readers[holder].state.lease_token(reducer.SNAPSHOT_LEASE)
         self._append(
@@ -79,7 +79,7 @@
         to=st.sampled_from(['live', 'draining', 'gone']),
     )
     def member(self, endpoint: str, to: typing.Any) -> None:
-        """An operator drains an endpoint or takes it back."""
+        """An operator changes an endpoint's state."""
         self.number += 1
         self._append(
             records.MembershipChange(
@@ -93,7 +93,7 @@
 
     @stateful.rule(who=READERS)
     def snapshot(self, who: int) -> None:
-        """A reader, however far behind, writes a snapshot."""
+        """A reader writes a snapshot, however old its state is."""
         known = self.readers[who]
         if known.awaiting_snapshot:
             return
@@ -124,20 +124,20 @@
 
     @stateful.rule(who=READERS)
     def restart(self, who: int) -> None:
-        """A fresh host takes a reader's place."""
+        """A new host replaces a reader."""
         self.readers[who] = reader.FleetReader()
         self.versions[who] = 0
 
     @stateful.rule(who=READERS, peer=READERS)
     def ask_peer(self, who: int, peer: int) -> None:
-        """A reader that is cut off takes a peer's state."""
+        """A reader adopts a peer's state."""
         data = self.readers[peer].state.to_json()
         state = state_module.FleetState.from_json(data)
         self.readers[who].adopt_state(state)
 
     @stateful.invariant()
     def readers_agree(self) -> None:
-        """States of the same offset are the same."""
+        """States at the same offset are equal."""
         for known in [*self.readers, self.reference]:
             state = known.state
             view = (state.version, patch.digest(state.to_json()))
@@ -146,14 +146,14 @@
 
     @stateful.invariant()
     def nothing_reverts(self) -> None:
-        """A reader's version only grows."""
+        """The version of a reader never decreases."""
         for who, known in enumerate(self.readers):
             assert known.state.version >= self.versions[who]
             self.versions[who] = known.state.version
 
     @stateful.invariant()
     def one_winner(self) -> None:
-        """At most one change on each base is accepted."""
+        """At most one change of each base version is accepted."""
         assert all(count == 1 for count in self.winners.values())
 
 
@@ -176,7 +176,7 @@
     return True
 
 
-def _fold_at_once(self: typing.Any, record: typing.Any) -> typing.Any:
+def _apply_at_once(self: typing.Any, record: typing.Any) -> typing.Any:
     verdict = reducer.apply_record(self.state, record.offset, record.body)
     yield reader.AppliedRecord(record=record, verdict=verdict)
 
@@ -186,17 +186,17 @@
     [
         (reducer, '_apply_config', _last_writer_wins),
         (reader.FleetReader, 'adopt_state', _adopt_anything),
-        (reader.FleetReader, '_apply_or_hold', _fold_at_once),
+        (reader.FleetReader, '_apply_or_hold', _apply_at_once),
     ],
-    ids=['last_writer_wins', 'adopt_anything', 'fold_past_a_gap'],
+    ids=['last_writer_wins', 'adopt_anything', 'apply_past_a_gap'],
 )
-def test_machine_sees_a_guard_removed(
+def test_machine_detects_a_removed_guard(
     where: typing.Any,
     name: str,
     mutant: typing.Any,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without the guard the state machine finds a counter-example."""
+    """Without the guard the state machine finds a counterexample."""
     monkeypatch.setattr(where, name, mutant)
     profile = hypothesis.settings(
         max_examples=300,
@@ -208,12 +208,8 @@
         stateful.run_state_machine_as_test(FleetMachine, settings=profile)
 
 
-def test_a_peers_state_does_not_open_a_second_gap() -> None:
-    """Records read while a gap was open follow on what a peer gave.
-
-    Found by the state machine: they were dropped, so the reader's state
-    lacked them although its position was beyond them.
-    """
+def test_held_records_are_applied_to_a_peers_state() -> None:
+    """Records held during a gap are applied to a peer's state, not lost."""
     log = fake_log.FakeLog()
     ahead, behind = reader.FleetReader(), reader.FleetReader()
     for number in range(3):
--- a/tests/unit/test_guards.py
+++ b/tests/unit/test_guards.py
@@ -1,4 +1,4 @@
-"""Each guard's removal is seen by the history checks."""
+"""The history checks detect the removal of each guard."""
 
 from collections import abc
 
@@ -22,12 +22,12 @@
 
 
 def broken_answers(world: world_module.World) -> list[str]:
-    """P2, and that every call is answered."""
+    """Check P2, and that every call is answered."""
     return history.whole_answers(world) + history.all_answered(world)
 
 
-def cut_off(world: world_module.World) -> list[str]:
-    """P6: every call that was in flight at SIGTERM is answered whole."""
+def incomplete_answers(world: world_module.World) -> list[str]:
+    """Check P6: calls in flight at SIGTERM are answered completely."""
     return [
         f'{s.call.call_id} got {s.outcome}'
         for s in world.submissions
@@ -38,7 +38,7 @@
 def seeds_from(first: int) -> list[int]:
     """Return the seeds to try: the likely ones, then all others.
 
-    Which seed shows a rare case shifts with every change of a policy.
+    The seed that shows a rare case changes with the policies.
     """
     return [*range(first, first + MAX_SEEDS), *range(MORE_SEEDS)]
 
@@ -64,8 +64,8 @@
         plays.terminated_agent,
         0,
     ),
-    (m.exit_at_once, cut_off, plays.terminated_agent, 0),
-    (m.exit_at_once, cut_off, plays.terminated_entry, 0),
+    (m.exit_at_once, incomplete_answers, plays.terminated_agent, 0),
+    (m.exit_at_once, incomplete_answers, plays.terminated_entry, 0),
     (m.any_incarnation, history.at_most_once, plays.forgetful, 0),
 ]
 
@@ -82,12 +82,12 @@
     first: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without the guard some run breaks the point."""
+    """Without the guard some run fails the check."""
     mutation(monkeypatch)
     for seed in seeds_from(first):
         if check(run(seed)):
             return
-    pytest.fail('the runs without the guard broke nothing')
+    pytest.fail('no run failed the check without the guard')
 
 
 @pytest.mark.parametrize(
@@ -101,8 +101,8 @@
         plays.terminated_entry,
     ],
 )
-def test_plays_are_sound_with_their_guards(run: Run) -> None:
-    """The scripted runs keep all promises."""
+def test_scripted_runs_pass_with_their_guards(run: Run) -> None:
+    """With all guards the scripted runs pass every check."""
     for seed in range(MAX_SEEDS):
         assert history.check(run(seed)) == [], seed
 
@@ -110,10 +110,10 @@
 @pytest.mark.parametrize(
     'run', [plays.terminated_agent, plays.terminated_entry]
 )
-def test_shutdowns_cut_nothing(run: Run) -> None:
-    """P6, at the agent and at the entry."""
+def test_shutdown_completes_calls_in_flight(run: Run) -> None:
+    """P6 holds when the agent or the entry terminates."""
     for seed in range(MAX_SEEDS):
-        assert cut_off(run(seed)) == [], seed
+        assert incomplete_answers(run(seed)) == [], seed
 
 
 def random_group(seed: int) -> group_world.GroupWorld:
@@ -139,29 +139,29 @@
     first: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without the guard some run uses two maps in a step."""
+    """Without the guard some run uses two maps in one step."""
     mutation(monkeypatch)
     for seed in seeds_from(first):
         if group_world.one_map_each_step(run(seed)):
             return
-    pytest.fail('the runs without the guard broke nothing')
+    pytest.fail('no run failed the check without the guard')
 
 
 @pytest.mark.parametrize('run', [plays.lost_rank, plays.split_group])
-def test_group_plays_are_sound_with_their_guards(
+def test_scripted_group_runs_pass_with_their_guards(
     run: abc.Callable[[int], group_world.GroupWorld],
 ) -> None:
-    """The scripted group runs keep one map a step, and step on."""
+    """The scripted group runs use one map in each step, and progress."""
     for seed in range(MAX_SEEDS):
         world = run(seed)
         assert group_world.one_map_each_step(world) == [], seed
         assert world.steps_done > 0, seed
 
 
-def test_no_ballot_check_leaves_the_group_stuck(
+def test_group_without_ballot_check_does_not_recover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The ballot check guards progress; numbers alone guard the map."""
+    """Without the ballot check the group does not recover."""
     m.no_ballot_check(monkeypatch)
     run = group_world.GroupChaos(seed=0, checks_fencing=False)
     run.run()
--- a/tests/unit/test_histories.py
+++ b/tests/unit/test_histories.py
@@ -1,23 +1,23 @@
-"""Histories of concurrent random runs over the true kernels."""
+"""Checks of histories of random runs of the kernels with faults."""
 
 import pytest
 from tests.lib import chaos
 from tests.lib import group_world
 from tests.lib import history
 
-FOUND = (102, 145, 770, 2154, 2294)
-"""Seeds whose runs broke P3 before its rules were completed."""
+REGRESSION_SEEDS = (102, 145, 770, 2154, 2294)
+"""Seeds of runs that once violated P3."""
 
 
 @pytest.mark.explores
-def test_calls_keep_their_promises(seeds: range) -> None:
-    """P2, P3, P4 and a final answer for all, whatever fails."""
-    for seed in [*seeds, *FOUND]:
+def test_calls_satisfy_their_guarantees(seeds: range) -> None:
+    """P2, P3, P4, and a final answer for each call, under all faults."""
+    for seed in [*seeds, *REGRESSION_SEEDS]:
         assert history.check(chaos.Chaos(seed=seed).run()) == [], seed
 
 
-def test_calls_without_faults_are_all_answered_whole() -> None:
-    """The checker is not satisfied by refusals alone."""
+def test_calls_without_faults_are_all_answered_completely() -> None:
+    """Without faults every call is answered completely, not refused."""
     for seed in range(10):
         world = chaos.Chaos(seed=seed, faults=False).run()
         assert history.check(world) == [], seed
@@ -30,16 +30,16 @@
 def test_groups_use_one_map_each_step(
     seeds: range, checks_fencing: bool
 ) -> None:
-    """P1, and the group steps again once the faults have ended."""
-    found = (123, 234, 379, 395, 1452, 21140)
-    for seed in [*seeds, *found]:
+    """P1, and the group continues to step after the faults end."""
+    regression_seeds = (123, 234, 379, 395, 1452, 21140)
+    for seed in [*seeds, *regression_seeds]:
         run = group_world.GroupChaos(seed=seed, checks_fencing=checks_fencing)
         assert group_world.one_map_each_step(run.run()) == [], seed
         assert run.recovered, seed
 
 
 def test_same_seed_gives_the_same_history() -> None:
-    """A run depends on its seed and on nothing else."""
+    """A run depends only on its seed."""
     one = chaos.Chaos(seed=7).run()
     two = chaos.Chaos(seed=7).run()
     assert one.executions == two.executions
--- a/tests/unit/test_poison.py
+++ b/tests/unit/test_poison.py
@@ -1,4 +1,4 @@
-"""No record on the log, however malformed, stops a reader."""
+"""A malformed record on the log does not stop a reader."""
 
 import typing
 
@@ -82,7 +82,7 @@
 
 
 def page(body: typing.Any, offset: int) -> reader.Page:
-    """Return a page of one record, all before it trimmed."""
+    """Return a page of one record; all before it are trimmed."""
     record = reader.LogRecord(offset=offset, body=body)
     return reader.Page(
         records=[record], first_offset=offset, next_offset=offset + 1
@@ -91,8 +91,8 @@
 
 @pytest.mark.explores
 @hypothesis.given(body=BODY)
-def test_fleet_stream(body: typing.Any) -> None:
-    """The fold judges it and goes on."""
+def test_fleet_state_skips_a_malformed_record(body: typing.Any) -> None:
+    """apply_record gives a verdict and keeps the fleet valid."""
     document = fleets.document()
     state = state_module.FleetState()
     state.set_document(1, document, fleet.Fleet.model_validate(document))
@@ -103,8 +103,10 @@
 
 @pytest.mark.explores
 @hypothesis.given(body=BODY)
-def test_fleet_stream_after_a_gap(body: typing.Any) -> None:
-    """A reader that looks for a snapshot passes over a bad one."""
+def test_fleet_reader_skips_a_malformed_record_after_a_gap(
+    body: typing.Any,
+) -> None:
+    """A reader that waits for a snapshot skips a malformed one."""
     known = reader.FleetReader()
     known.apply_page(page(body, 5))
     assert known.position == 6
@@ -112,8 +114,8 @@
 
 @pytest.mark.explores
 @hypothesis.given(body=BODY)
-def test_claim_stream(body: typing.Any) -> None:
-    """The fold passes over it."""
+def test_claim_table_skips_a_malformed_record(body: typing.Any) -> None:
+    """A claim table skips the record."""
     known = claim_table.ClaimTable(window=claim_table.MAX_REQUEST_DELAY)
     record = reader.LogRecord(offset=1, body=body)
     once = reader.Page(records=[record], first_offset=1, next_offset=2)
