--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -152,7 +152,7 @@
     async def _wait_for_discovery(self) -> None:
         """Wait until the ranks should be searched for again."""
         if self._outage.is_ongoing:
-            await self._outage.wait(OUTAGE_DISCOVERY_INTERVAL)
+            await self._outage.wait_for_recovery(OUTAGE_DISCOVERY_INTERVAL)
             return
         delay = DISCOVERY_INTERVAL
         if self._outage.recent_recovery_age(self._clock.now()) is not None:
