--- a/src/aspenfold/_internal/leases/leased_tasks.py
+++ b/src/aspenfold/_internal/leases/leased_tasks.py
@@ -130,7 +130,7 @@
     ) -> str:
         """Return why to plan a new map, empty if there is no reason."""
         if not _fits(group, current):
-            return 'the map does not match the number of ranks and experts'
+            return 'the group has no map of its size'
         if len(load) != group.experts:
             return ''
         planned_at = self._planned_at.get(group.name)
