--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -544,7 +544,7 @@
     )
     load = [rng.paretovariate(1.0) for _ in range(24)]
     current = [[e for e in range(24) if e % 8 == r] for r in range(8)]
-    plan = descent.Descent().plan(shape, load, current, PRICE)
+    plan = descent.DescentPlanner().plan(shape, load, current, PRICE)
     assert {e for experts in plan for e in experts} == set(range(24))
     for before, after in zip(current, plan, strict=True):
         assert len(after) <= 4
@@ -562,7 +562,7 @@
     for seed in range(20):
         load = [1 / (i + 1) ** 1.1 for i in range(64)]
         random.Random(seed).shuffle(load)
-        plan = descent.Descent().plan(shape, load, current, PRICE)
+        plan = descent.DescentPlanner().plan(shape, load, current, PRICE)
         assert planner.skew(plan, load) < 1.25
 
 
