--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -112,9 +112,9 @@
                 Code.INCARNATION_GONE,
                 f'this is incarnation {self.incarnation}',
             )
-        known = self._attempts.get(request.attempt_id)
-        if known is not None:
-            return self._attach(stream_id, request, known)
+        attempt = self._attempts.get(request.attempt_id)
+        if attempt is not None:
+            return self._attach(stream_id, request, attempt)
         if request.deadline + ATTEMPT_RETENTION < now:
             # It may have run and been forgotten.
             return self._refuse(
@@ -136,10 +136,10 @@
 
     def cancel(self, attempt_id: str) -> list[actions.Action]:
         """Cancel a running attempt if it is repeatable and has no reader."""
-        known = self._attempts.get(attempt_id)
-        if known is None or known.state is not State.RUNNING:
+        attempt = self._attempts.get(attempt_id)
+        if attempt is None or attempt.state is not State.RUNNING:
             return []
-        if not known.repeatable or known.streams:
+        if not attempt.repeatable or attempt.streams:
             return []
         return [actions.CancelEndpoint(attempt_id=attempt_id)]
 
@@ -161,37 +161,38 @@
         self, attempt_id: str, head: frames.Head
     ) -> list[actions.Action]:
         """Handle the start of the endpoint's answer."""
-        known = self._attempts[attempt_id]
-        if known.state is not State.RUNNING:
+        attempt = self._attempts[attempt_id]
+        if attempt.state is not State.RUNNING:
             return []
-        known.head = head
+        attempt.head = head
         return [
-            self._send(stream_id, known, head) for stream_id in known.streams
+            self._send(stream_id, attempt, head)
+            for stream_id in attempt.streams
         ]
 
     def on_endpoint_items(
         self, attempt_id: str, items: tuple[bytes, ...]
     ) -> list[actions.Action]:
         """Handle the next items of the endpoint's answer."""
-        known = self._attempts[attempt_id]
-        if known.state is not State.RUNNING:
+        attempt = self._attempts[attempt_id]
+        if attempt.state is not State.RUNNING:
             return []
-        known.add(items)
+        attempt.add(items)
         result: list[actions.Action] = []
-        for stream_id in known.streams:
-            result.extend(self._send_new_items(stream_id, known))
+        for stream_id in attempt.streams:
+            result.extend(self._send_new_items(stream_id, attempt))
         return result
 
     def on_endpoint_ended(
         self, attempt_id: str, now: datetime.datetime
     ) -> list[actions.Action]:
         """Handle the end of the endpoint's complete answer."""
-        known = self._attempts[attempt_id]
-        if known.state is not State.RUNNING:
+        attempt = self._attempts[attempt_id]
+        if attempt.state is not State.RUNNING:
             return []
-        known.state = State.DONE
-        self._finish(known)
-        return self._end_streams(known, known.end())
+        attempt.state = State.DONE
+        self._finish(attempt)
+        return self._end_streams(attempt, attempt.end())
 
     def on_endpoint_failed(
         self, attempt_id: str, failure: exceptions.Failure
@@ -200,15 +201,15 @@
 
         The code of ``failure`` tells whether the attempt ran.
         """
-        known = self._attempts[attempt_id]
-        if known.state is not State.RUNNING:
+        attempt = self._attempts[attempt_id]
+        if attempt.state is not State.RUNNING:
             return []
-        known.state = State.FAILED
-        known.failure = failure
+        attempt.state = State.FAILED
+        attempt.failure = failure
         if failure.outcome is exceptions.Outcome.NOT_RUN:
-            known.state = State.SEALED
-        self._finish(known)
-        return self._end_streams(known, frames.Failed(failure=failure))
+            attempt.state = State.SEALED
+        self._finish(attempt)
+        return self._end_streams(attempt, frames.Failed(failure=failure))
 
     def tick(self, now: datetime.datetime) -> list[actions.Action]:
         """Seal attempts whose pending joins expired; forget old attempts."""
@@ -221,9 +222,9 @@
         for pending in due:
             if pending.request.attempt_id not in self._attempts:
                 self._seal(pending.request)
-            known = self._attempts[pending.request.attempt_id]
+            attempt = self._attempts[pending.request.attempt_id]
             result.extend(
-                self._attach(pending.stream_id, pending.request, known)
+                self._attach(pending.stream_id, pending.request, attempt)
             )
         self._forget_expired(now)
         return result
@@ -233,13 +234,13 @@
     ) -> list[actions.Action]:
         """Cancel every running attempt and end its answer with ``failure``."""
         result: list[actions.Action] = []
-        for known in list(self._attempts.values()):
-            if known.state is State.RUNNING:
+        for attempt in list(self._attempts.values()):
+            if attempt.state is State.RUNNING:
                 result.append(
-                    actions.CancelEndpoint(attempt_id=known.attempt_id)
+                    actions.CancelEndpoint(attempt_id=attempt.attempt_id)
                 )
                 result.extend(
-                    self.on_endpoint_failed(known.attempt_id, failure)
+                    self.on_endpoint_failed(attempt.attempt_id, failure)
                 )
         return result
 
@@ -258,13 +259,13 @@
         if refusal is not None:
             self._seal(request)
             return self._refuse(stream_id, request, refusal, '')
-        known = self._remember(request, State.RUNNING)
+        attempt = self._remember(request, State.RUNNING)
         self._running += 1
-        if known.interactive:
+        if attempt.interactive:
             self._reservation.on_started(now)
         result: list[actions.Action] = [actions.CallEndpoint(request=request)]
-        result.extend(self._attach(stream_id, request, known))
-        result.extend(self._attach_pending_joins(known))
+        result.extend(self._attach(stream_id, request, attempt))
+        result.extend(self._attach_pending_joins(attempt))
         return result
 
     def _refusal_code(
@@ -299,21 +300,21 @@
                 )
             )
             return []
-        known = self._seal(request)
-        return self._attach(stream_id, request, known)
+        attempt = self._seal(request)
+        return self._attach(stream_id, request, attempt)
 
     def _seal(self, request: frames.AttemptRequest) -> attempt_module.Attempt:
-        known = self._remember(request, State.SEALED)
-        known.failure = exceptions.Failure(
+        attempt = self._remember(request, State.SEALED)
+        attempt.failure = exceptions.Failure(
             code=Code.SEALED,
             detail='the attempt did not run and never will',
         )
-        return known
+        return attempt
 
     def _remember(
         self, request: frames.AttemptRequest, state: State
     ) -> attempt_module.Attempt:
-        known = attempt_module.Attempt(
+        attempt = attempt_module.Attempt(
             attempt_id=request.attempt_id,
             digest=request.digest,
             repeatable=request.repeatable,
@@ -322,23 +323,23 @@
             resume_from=request.resume_from,
             state=state,
         )
-        self._attempts[request.attempt_id] = known
+        self._attempts[request.attempt_id] = attempt
         self._by_deadline.append(request.attempt_id)
-        return known
+        return attempt
 
     def _attach_pending_joins(
-        self, known: attempt_module.Attempt
+        self, attempt: attempt_module.Attempt
     ) -> list[actions.Action]:
         result: list[actions.Action] = []
         for pending in self._pending_joins:
-            if pending.request.attempt_id == known.attempt_id:
+            if pending.request.attempt_id == attempt.attempt_id:
                 result.extend(
-                    self._attach(pending.stream_id, pending.request, known)
+                    self._attach(pending.stream_id, pending.request, attempt)
                 )
         self._pending_joins = [
             join
             for join in self._pending_joins
-            if join.request.attempt_id != known.attempt_id
+            if join.request.attempt_id != attempt.attempt_id
         ]
         return result
 
@@ -346,28 +347,34 @@
         self,
         stream_id: int,
         request: frames.AttemptRequest,
-        known: attempt_module.Attempt,
+        attempt: attempt_module.Attempt,
     ) -> list[actions.Action]:
-        if known.state is State.SEALED:
-            assert known.failure is not None
+        if attempt.state is State.SEALED:
+            assert attempt.failure is not None
             return self._refuse(
-                stream_id, request, known.failure.code, known.failure.detail
+                stream_id,
+                request,
+                attempt.failure.code,
+                attempt.failure.detail,
             )
-        if known.digest != request.digest:
+        if attempt.digest != request.digest:
             return self._refuse(
                 stream_id,
                 request,
                 Code.KEY_REUSED,
                 'the key was used for a request with other content',
             )
-        if known.state is State.FAILED:
-            assert known.failure is not None
+        if attempt.state is State.FAILED:
+            assert attempt.failure is not None
             return self._refuse(
-                stream_id, request, known.failure.code, known.failure.detail
+                stream_id,
+                request,
+                attempt.failure.code,
+                attempt.failure.detail,
             )
         if (
-            known.state is State.ANSWER_DISCARDED
-            or request.next_item < known.resume_from
+            attempt.state is State.ANSWER_DISCARDED
+            or request.next_item < attempt.resume_from
         ):
             return self._refuse(
                 stream_id,
@@ -375,43 +382,46 @@
                 Code.ANSWER_EXPIRED,
                 'the attempt ran, but its answer is no longer kept',
             )
-        known.streams[stream_id] = request.next_item
-        self._streams[stream_id] = known.attempt_id
+        attempt.streams[stream_id] = request.next_item
+        self._streams[stream_id] = attempt.attempt_id
         result: list[actions.Action] = []
-        if known.head is not None:
-            result.append(self._send(stream_id, known, known.head))
-        result.extend(self._send_new_items(stream_id, known))
-        if known.state is State.DONE:
-            result.extend(self._end_streams(known, known.end()))
+        if attempt.head is not None:
+            result.append(self._send(stream_id, attempt, attempt.head))
+        result.extend(self._send_new_items(stream_id, attempt))
+        if attempt.state is State.DONE:
+            result.extend(self._end_streams(attempt, attempt.end()))
         return result
 
     def _send_new_items(
-        self, stream_id: int, known: attempt_module.Attempt
+        self, stream_id: int, attempt: attempt_module.Attempt
     ) -> list[actions.Action]:
-        first = known.streams[stream_id]
-        items = known.items_from(first)
+        first = attempt.streams[stream_id]
+        items = attempt.items_from(first)
         if not items:
             return []
-        known.streams[stream_id] = known.next_item
+        attempt.streams[stream_id] = attempt.next_item
         body = frames.Items(first=first, items=items)
-        return [self._send(stream_id, known, body)]
+        return [self._send(stream_id, attempt, body)]
 
     def _end_streams(
-        self, known: attempt_module.Attempt, body: frames.Body
+        self, attempt: attempt_module.Attempt, body: frames.Body
     ) -> list[actions.Action]:
         result: list[actions.Action] = []
-        for stream_id in known.streams:
+        for stream_id in attempt.streams:
             self._streams.pop(stream_id, None)
-            result.append(self._send(stream_id, known, body))
+            result.append(self._send(stream_id, attempt, body))
             result.append(actions.CloseAnswerStream(stream_id=stream_id))
-        known.streams.clear()
+        attempt.streams.clear()
         return result
 
     def _send(
-        self, stream_id: int, known: attempt_module.Attempt, body: frames.Body
+        self,
+        stream_id: int,
+        attempt: attempt_module.Attempt,
+        body: frames.Body,
     ) -> actions.Send:
         frame = frames.Frame(
-            attempt_id=known.attempt_id, load=self.load, body=body
+            attempt_id=attempt.attempt_id, load=self.load, body=body
         )
         return actions.Send(stream_id=stream_id, frame=frame)
 
@@ -435,15 +445,15 @@
             actions.CloseAnswerStream(stream_id=stream_id),
         ]
 
-    def _finish(self, known: attempt_module.Attempt) -> None:
+    def _finish(self, attempt: attempt_module.Attempt) -> None:
         self._running -= 1
-        if known.interactive:
+        if attempt.interactive:
             self._reservation.on_ended()
-        if known.state is not State.DONE:
-            known.items.clear()
-            known.size = 0
-        self._answer_bytes += known.size
-        self._finished.append(known.attempt_id)
+        if attempt.state is not State.DONE:
+            attempt.items.clear()
+            attempt.size = 0
+        self._answer_bytes += attempt.size
+        self._finished.append(attempt.attempt_id)
         while self._answer_bytes > self._answer_memory and self._finished:
             oldest = self._attempts.get(self._finished.popleft())
             if oldest is not None and not oldest.streams:
@@ -460,12 +470,12 @@
         # The queue is only roughly in order of deadlines.  A late one at
         # its front delays forgetting.
         while self._by_deadline:
-            known = self._attempts[self._by_deadline[0]]
+            attempt = self._attempts[self._by_deadline[0]]
             if (
-                known.state is State.RUNNING
-                or known.deadline + ATTEMPT_RETENTION >= now
+                attempt.state is State.RUNNING
+                or attempt.deadline + ATTEMPT_RETENTION >= now
             ):
                 return
             self._by_deadline.popleft()
-            self._answer_bytes -= known.size
-            del self._attempts[known.attempt_id]
+            self._answer_bytes -= attempt.size
+            del self._attempts[attempt.attempt_id]
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -123,7 +123,7 @@
             case frames.Items():
                 return self._on_items(frame, frame.body, now)
             case frames.End():
-                self._assembler.end(frame.attempt_id, frame.body)
+                self._assembler.add_end(frame.attempt_id, frame.body)
                 return self._check_complete(now)
             case frames.Failed():
                 return self._on_failed(frame.body.failure, now)
@@ -302,7 +302,7 @@
         if chosen is None:
             return None
         self._attempts_made += 1
-        resume = self._assembler.next_item if self.call.repeatable else 0
+        resume_from = self._assembler.next_item if self.call.repeatable else 0
         return attempt_module.Attempt(
             attempt_id=self._context.new_id(),
             endpoint=chosen.name,
@@ -310,7 +310,7 @@
             deadline=self.call.deadline,
             is_own=True,
             mode=frames.Mode.RUN,
-            resume_from=resume,
+            resume_from=resume_from,
         )
 
     def _open_stream(
@@ -322,9 +322,9 @@
         """Open an answer stream to the current attempt's agent."""
         attempt = self._attempt
         assert attempt is not None
-        known = self._context.endpoint(attempt.endpoint)
+        endpoint = self._context.endpoint(attempt.endpoint)
         # An empty incarnation is unknown; the agent then checks it.
-        if known is None or known.incarnation not in (
+        if endpoint is None or endpoint.incarnation not in (
             '',
             attempt.incarnation,
         ):
@@ -341,7 +341,7 @@
         self._supersedes = ''
         self._holds_unexecuted_key = False
         self.endpoint = attempt.endpoint
-        self._assembler.begin(attempt.attempt_id)
+        self._assembler.begin_attempt(attempt.attempt_id)
         self._stream_id = self._context.new_stream_id(self.call.call_id)
         request = frames.AttemptRequest(
             attempt_id=attempt.attempt_id,
@@ -362,19 +362,19 @@
         )
         return [
             actions.OpenAnswerStream(
-                stream_id=self._stream_id, host=known.host, request=request
+                stream_id=self._stream_id, host=endpoint.host, request=request
             )
         ]
 
     def _schedule_query(self, now: datetime.datetime) -> list[actions.Action]:
         attempt = self._attempt
         assert attempt is not None
-        wait = min(
+        delay = min(
             MAX_QUERY_DELAY, INITIAL_QUERY_DELAY * 2**attempt.query_count
         )
         attempt.query_count += 1
         self.state = State.QUERYING
-        self.wake_at = min(self.call.deadline, now + wait)
+        self.wake_at = min(self.call.deadline, now + delay)
         return []
 
     def _query_attempt(self, now: datetime.datetime) -> list[actions.Action]:
@@ -390,21 +390,21 @@
         return self._open_stream(now)
 
     def _retry_or_fail(
-        self, cause: exceptions.Failure, now: datetime.datetime
+        self, failure: exceptions.Failure, now: datetime.datetime
     ) -> list[actions.Action]:
         """Schedule a retry if that is safe and allowed, or fail the call."""
-        self._last_failure = cause
+        self._last_failure = failure
         attempt = self._attempt
         assert attempt is not None
         if not attempt.never_executes:
             self._may_have_run = True
         if not self._may_retry():
-            return self._fail(cause)
-        wait = self._context.retry_delay(self.call, self._attempts_made + 1)
-        if wait is None or now + wait >= self.call.deadline:
-            return self._fail(cause)
+            return self._fail(failure)
+        delay = self._context.retry_delay(self.call, self._attempts_made + 1)
+        if delay is None or now + delay >= self.call.deadline:
+            return self._fail(failure)
         self.state = State.WAITING
-        self.wake_at = now + wait
+        self.wake_at = now + delay
         return self._cancel() if attempt.sent else []
 
     def _may_retry(self) -> bool:
@@ -441,7 +441,7 @@
         now: datetime.datetime,
     ) -> list[actions.Action]:
         first = self._assembler.next_item
-        ready = self._assembler.items(frame.attempt_id, body)
+        ready = self._assembler.add_items(frame.attempt_id, body)
         result: list[actions.Action] = []
         if ready:
             result.append(
@@ -537,12 +537,12 @@
     def _cancel(self) -> list[actions.Action]:
         attempt = self._attempt
         assert attempt is not None
-        known = self._context.endpoint(attempt.endpoint)
-        if known is None or not self.call.repeatable or not attempt.is_own:
+        endpoint = self._context.endpoint(attempt.endpoint)
+        if endpoint is None or not self.call.repeatable or not attempt.is_own:
             return []
         return [
             actions.CancelAttempt(
-                host=known.host, attempt_id=attempt.attempt_id
+                host=endpoint.host, attempt_id=attempt.attempt_id
             )
         ]
 
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -129,11 +129,11 @@
         stream_id = self._next_stream_id
         self._next_stream_id += 1
         self._streams[stream_id] = call_id
-        endpoint = self._flows[call_id].endpoint
-        self._stream_endpoint[stream_id] = endpoint
-        known = self.view.get(endpoint)
-        if known is not None:
-            known.in_flight += 1
+        endpoint_name = self._flows[call_id].endpoint
+        self._stream_endpoint[stream_id] = endpoint_name
+        endpoint = self.view.get(endpoint_name)
+        if endpoint is not None:
+            endpoint.in_flight += 1
         return stream_id
 
     def retry_delay(
@@ -393,9 +393,9 @@
     def _remove_stream(self, stream_id: int) -> None:
         if self._streams.pop(stream_id, None) is None:
             return
-        known = self.view.get(self._stream_endpoint.pop(stream_id))
-        if known is not None and known.in_flight > 0:
-            known.in_flight -= 1
+        endpoint = self.view.get(self._stream_endpoint.pop(stream_id))
+        if endpoint is not None and endpoint.in_flight > 0:
+            endpoint.in_flight -= 1
 
     def _retry_policy(self, service: str) -> retry_policy.RetryPolicy:
         return self._policy(retry_policy.KIND, service, rng=self._rng)
--- a/src/aspenfold/_internal/claims/ticket.py
+++ b/src/aspenfold/_internal/claims/ticket.py
@@ -47,7 +47,7 @@
 
 
 def is_ticket(key: str) -> bool:
-    """Return whether ``key`` has the form of a ticket."""
+    """Return whether ``key`` starts with the prefix of tickets."""
     return key.startswith(TICKET_PREFIX + '.')
 
 
--- a/src/aspenfold/_internal/configuration/reader.py
+++ b/src/aspenfold/_internal/configuration/reader.py
@@ -62,7 +62,8 @@
     def awaiting_snapshot(self) -> bool:
         """Whether records were trimmed before they were read.
 
-        No record is applied until a snapshot closes the gap.
+        No record is applied until a snapshot or a peer's state closes the
+        gap.
         """
         return self._held is not None
 
--- a/src/aspenfold/_internal/configuration/state.py
+++ b/src/aspenfold/_internal/configuration/state.py
@@ -89,9 +89,9 @@
             'next_offset': self.next_offset,
             'version': self.version,
             'document': self.document,
-            'leases': _plain(self.leases),
-            'members': _plain(self.members),
-            'maps': _plain(self.maps),
+            'leases': _to_dicts(self.leases),
+            'members': _to_dicts(self.members),
+            'maps': _to_dicts(self.maps),
         }
 
     @classmethod
@@ -121,5 +121,5 @@
         )
 
 
-def _plain(items: dict[str, typing.Any]) -> dict[str, typing.Any]:
+def _to_dicts(items: dict[str, typing.Any]) -> dict[str, typing.Any]:
     return {name: dataclasses.asdict(item) for name, item in items.items()}
--- a/src/aspenfold/_internal/delivery/assembler.py
+++ b/src/aspenfold/_internal/delivery/assembler.py
@@ -31,7 +31,7 @@
         self._buffer: dict[int, bytes] = {}
         self._end: frames.End | None = None
 
-    def begin(self, attempt_id: str) -> None:
+    def begin_attempt(self, attempt_id: str) -> None:
         """Expect items of ``attempt_id`` from :attr:`next_item` on."""
         if attempt_id == self._attempt_id:
             return
@@ -40,7 +40,7 @@
         self._buffer.clear()
         self._end = None
 
-    def items(self, attempt_id: str, body: frames.Items) -> list[bytes]:
+    def add_items(self, attempt_id: str, body: frames.Items) -> list[bytes]:
         """Add items; return those that are now next in order."""
         if attempt_id != self._attempt_id:
             return []
@@ -55,7 +55,7 @@
         self._check_end()
         return ready
 
-    def end(self, attempt_id: str, body: frames.End) -> None:
+    def add_end(self, attempt_id: str, body: frames.End) -> None:
         """Handle the end frame, which may arrive before the last items."""
         if attempt_id != self._attempt_id:
             return
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -172,13 +172,13 @@
 def no_order(patch: Patch) -> None:
     """Items are delivered as they come."""
 
-    def items(
+    def add_items(
         self: typing.Any, attempt_id: str, body: frames.Items
     ) -> list[bytes]:
         self.next_item = max(self.next_item, body.first + len(body.items))
         return list(body.items)
 
-    patch.setattr(assembler.AnswerAssembler, 'items', items)
+    patch.setattr(assembler.AnswerAssembler, 'add_items', add_items)
 
 
 def no_end_check(patch: Patch) -> None:
--- a/tests/unit/test_claim_machine.py
+++ b/tests/unit/test_claim_machine.py
@@ -61,9 +61,9 @@
     @stateful.rule(who=TABLES, limit=st.integers(1, 3))
     def read(self, who: int, limit: int) -> None:
         """An entry reads a page."""
-        known = self.tables[who]
-        known.apply_page(
-            self.log.read(STREAM, known.position, limit), self.now
+        claim_table = self.tables[who]
+        claim_table.apply_page(
+            self.log.read(STREAM, claim_table.position, limit), self.now
         )
 
     @stateful.rule(seconds=st.sampled_from([1, 20, 61]))
@@ -96,17 +96,17 @@
         A holder older than the window may still be kept: holders expire
         by the times of later claims.
         """
-        for known in self.tables:
-            if not known.has_all_claims(self.now):
+        for claim_table in self.tables:
+            if not claim_table.has_all_claims(self.now):
                 continue
             for key in ('k', 'l'):
-                holder = known.holder(key)
+                holder = claim_table.holder(key)
                 if holder is not None and holder.at <= self.now - WINDOW:
                     continue
                 name = holder.claim.attempt_id if holder else ''
-                place = (known.position, key)
-                first = self.holders.setdefault(place, name)
-                assert first == name or first in self.expired()
+                position_and_key = (claim_table.position, key)
+                first_holder = self.holders.setdefault(position_and_key, name)
+                assert first_holder == name or first_holder in self.expired()
 
 
 TestClaimMachine = ClaimMachine.TestCase
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -94,8 +94,8 @@
     @stateful.rule(who=READERS)
     def snapshot(self, who: int) -> None:
         """A reader writes a snapshot, however old its state is."""
-        known = self.readers[who]
-        if known.awaiting_snapshot:
+        fleet_reader = self.readers[who]
+        if fleet_reader.awaiting_snapshot:
             return
         self.number += 1
         self._append(
@@ -103,10 +103,10 @@
                 id=f'snapshot-{self.number}',
                 author=f'entry-{who}',
                 at=sim_module.START,
-                covers=known.state.next_offset,
+                covers=fleet_reader.state.next_offset,
                 lease_token=0,
                 state=records.StateDocument.model_validate(
-                    known.state.to_json()
+                    fleet_reader.state.to_json()
                 ),
             )
         )
@@ -119,8 +119,10 @@
     @stateful.rule(who=READERS, limit=st.integers(1, 5))
     def read(self, who: int, limit: int) -> None:
         """A reader reads a page."""
-        known = self.readers[who]
-        known.apply_page(self.log.read(STREAM, known.position, limit))
+        fleet_reader = self.readers[who]
+        fleet_reader.apply_page(
+            self.log.read(STREAM, fleet_reader.position, limit)
+        )
 
     @stateful.rule(who=READERS)
     def restart(self, who: int) -> None:
@@ -138,8 +140,8 @@
     @stateful.invariant()
     def readers_agree(self) -> None:
         """States at the same offset are equal."""
-        for known in [*self.readers, self.reference]:
-            state = known.state
+        for fleet_reader in [*self.readers, self.reference]:
+            state = fleet_reader.state
             view = (state.version, patch.digest(state.to_json()))
             first = self.seen.setdefault(state.next_offset, view)
             assert first == view
@@ -147,9 +149,9 @@
     @stateful.invariant()
     def nothing_reverts(self) -> None:
         """The version of a reader never decreases."""
-        for who, known in enumerate(self.readers):
-            assert known.state.version >= self.versions[who]
-            self.versions[who] = known.state.version
+        for who, fleet_reader in enumerate(self.readers):
+            assert fleet_reader.state.version >= self.versions[who]
+            self.versions[who] = fleet_reader.state.version
 
     @stateful.invariant()
     def one_winner(self) -> None:
--- a/tests/unit/test_poison.py
+++ b/tests/unit/test_poison.py
@@ -107,18 +107,18 @@
     body: typing.Any,
 ) -> None:
     """A reader that waits for a snapshot skips a malformed one."""
-    known = reader.FleetReader()
-    known.apply_page(page(body, 5))
-    assert known.position == 6
+    fleet_reader = reader.FleetReader()
+    fleet_reader.apply_page(page(body, 5))
+    assert fleet_reader.position == 6
 
 
 @pytest.mark.explores
 @hypothesis.given(body=BODY)
 def test_claim_table_skips_a_malformed_record(body: typing.Any) -> None:
     """A claim table skips the record."""
-    known = claim_table.ClaimTable(window=claim_table.MAX_REQUEST_DELAY)
+    table = claim_table.ClaimTable(window=claim_table.MAX_REQUEST_DELAY)
     record = reader.LogRecord(offset=1, body=body)
     once = reader.Page(records=[record], first_offset=1, next_offset=2)
-    known.apply_page(once, sim_module.START)
-    known.apply_page(page(body, 5), sim_module.START)
-    assert known.position == 6
+    table.apply_page(once, sim_module.START)
+    table.apply_page(page(body, 5), sim_module.START)
+    assert table.position == 6
