--- a/src/aspenfold/_internal/expertmaps/map_switch.py
+++ b/src/aspenfold/_internal/expertmaps/map_switch.py
@@ -482,13 +482,13 @@
         self._requested_at = None
 
     def _is_timed_out(self, now: datetime.datetime) -> bool:
-        since = self._entered_at
-        if since is None:
+        entered_at = self._entered_at
+        if entered_at is None:
             return False
         if self.state in (State.PREPARE, State.AWAIT_COPIES):
-            return now - since > COPY_TIMEOUT
+            return now - entered_at > COPY_TIMEOUT
         if self.state in (State.HOLD, State.ARM):
-            return now - since > ARM_TIMEOUT
+            return now - entered_at > ARM_TIMEOUT
         return False
 
     def _request_reports(self, now: datetime.datetime) -> list[Action]:
@@ -500,21 +500,23 @@
             if self._hold_rank_is_fresh
             else REPORT_INTERVAL
         )
-        asked = self._requested_at
-        if asked is not None and now - asked < interval:
+        requested_at = self._requested_at
+        if requested_at is not None and now - requested_at < interval:
             return []
         self._requested_at = now
         if self.state is State.AWAIT_PASS:
             return [RequestReport(rank=HOLD_RANK)]
-        done: abc.Container[int] = ()
+        prepared_ranks: abc.Container[int] = ()
         if self.state is State.AWAIT_COPIES:
-            done = {
+            prepared_ranks = {
                 r.rank
                 for r in self._reports.values()
                 if r.prepared == self._token and r.rank != HOLD_RANK
             }
         return [
-            RequestReport(rank=r) for r in range(self.size) if r not in done
+            RequestReport(rank=r)
+            for r in range(self.size)
+            if r not in prepared_ranks
         ]
 
     def _send_all(
--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -16,6 +16,10 @@
     not reported or the report is no longer valid.  ``in_flight`` is the
     number of this entry's own calls there, ``in_flight_at_report`` that
     number at the last report.  ``failures`` are consecutive.
+
+    The other fields are for endpoints of a rank group: ``map_version`` is
+    the newest map plan that the agent knows, ``map_in_use`` the version of
+    the current step, 0 for none, and ``expert_load`` the load by expert.
     """
 
     host: hosts.Host
--- a/src/aspenfold/_internal/retries/budget.py
+++ b/src/aspenfold/_internal/retries/budget.py
@@ -15,7 +15,7 @@
 MAX_ATTEMPTS = 4
 
 BASE_DELAY = datetime.timedelta(milliseconds=25)
-"""Maximum delay of the first retry; it doubles with each attempt."""
+"""The delay before attempt n is random, up to BASE_DELAY * 2 ** (n - 1)."""
 
 
 @registry.register(policy.KIND, 'budget')
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -99,11 +99,13 @@
 ) -> None:
     """Count the choices of a prompt: 70% common to all, 30% its own."""
     own = random_popularity(rng)
-    for number in range(SETS):
+    for set_index in range(SETS):
         for expert in range(EXPERTS):
-            weight = 0.7 * common[number][expert] + 0.3 * own[number][expert]
+            weight = (
+                0.7 * common[set_index][expert] + 0.3 * own[set_index][expert]
+            )
             choices = int(weight * CHOICES / SETS)
-            group.choose(number * EXPERTS + expert, choices)
+            group.choose(set_index * EXPERTS + expert, choices)
 
 
 def error(loads_by_set: list[list[float]], common: list[list[float]]) -> float:
