--- a/src/aspenfold/_internal/commands/apply.py
+++ b/src/aspenfold/_internal/commands/apply.py
@@ -5,10 +5,10 @@
 import time
 import typing
 
-from aspenfold._internal.commands import changes
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
+from aspenfold._internal.commands import fleet_client
+from aspenfold._internal.commands import fleet_diff
 from aspenfold._internal.commands import output
-from aspenfold._internal.commands import platform as platform_module
 from aspenfold._internal.configuration import patch
 from aspenfold._internal.configuration import reducer
 from aspenfold._internal import exceptions
@@ -16,7 +16,7 @@
 from aspenfold._internal.models import fleet as fleet_model
 from aspenfold._internal.models import records
 
-POLL = datetime.timedelta(milliseconds=200)
+POLL_INTERVAL = datetime.timedelta(milliseconds=200)
 
 
 def load_fleet(path: str) -> patch.Document:
@@ -30,8 +30,8 @@
 class ApplyCommand:
     """Appends the change, then waits until it is in force everywhere."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
     def run(
         self,
@@ -41,21 +41,21 @@
         reason: str,
         wait: datetime.timedelta,
         as_json: bool,
-    ) -> exits.Exit:
+    ) -> exit_status.Exit:
         """Apply the fleet file at ``path``."""
         document = load_fleet(path)
-        state = self._platform.state
-        self._platform.catch_up()
-        state = self._platform.state
+        state = self._client.state
+        self._client.catch_up()
+        state = self._client.state
         if base_version is not None and base_version != state.version:
             self._conflict(base_version)
         steps = patch.diff(state.document, document)
         if not steps:
-            output.show(
+            output.print_rows(
                 [{'result': 'no change', 'version': state.version}],
                 as_json=as_json,
             )
-            return exits.Exit.OK
+            return exit_status.Exit.OK
         version = self._append(document, steps, reason)
         return self._wait(version, wait, as_json)
 
@@ -65,15 +65,15 @@
         steps: list[dict[str, typing.Any]],
         reason: str,
     ) -> int:
-        base_version = self._platform.state.version
+        base_version = self._client.state.version
         record = records.ConfigChange(
-            **self._platform.header(),
+            **self._client.record_header(),
             base_version=base_version,
             digest=patch.digest(document),
             patch=steps,
             reason=reason,
         )
-        judged = self._platform.append(record)
+        judged = self._client.append(record)
         if judged.verdict is reducer.Verdict.ACCEPTED:
             return judged.record.offset
         if judged.verdict is reducer.Verdict.CONFLICT:
@@ -88,15 +88,15 @@
 
     def _conflict(self, base_version: int) -> typing.NoReturn:
         """Raise the conflict with what others changed since the base."""
-        platform = self._platform
+        client = self._client
         lines = []
-        for record in platform.read_records():
+        for record in client.read_records():
             body = record.body
             if body.get('type') != 'config':
                 continue
             if record.offset <= base_version:
                 continue
-            if record.offset <= platform.state.version:
+            if record.offset <= client.state.version:
                 paths = ', '.join(s['path'] for s in body['patch'])
                 lines.append(
                     f'version {record.offset} by {body["author"]}: {paths}'
@@ -105,7 +105,7 @@
             exceptions.Failure(
                 code=exceptions.Code.CONFIG_CONFLICT,
                 detail=f'version {base_version} is no longer in force, '
-                f'version {platform.state.version} is; ' + '; '.join(lines),
+                f'version {client.state.version} is; ' + '; '.join(lines),
                 field='base_version',
                 remedy='run "aspenfold diff" on your file, merge the '
                 'change, and apply again',
@@ -114,8 +114,8 @@
 
     def _wait(
         self, version: int, wait: datetime.timedelta, as_json: bool
-    ) -> exits.Exit:
-        clock = self._platform.clock
+    ) -> exit_status.Exit:
+        clock = self._client.clock
         began = clock.now()
         until = began + wait
         while True:
@@ -124,8 +124,8 @@
             if not behind or clock.now() >= until:
                 break
             _progress(len(rows) - len(behind), len(rows))
-            time.sleep(POLL.total_seconds())
-        output.show(rows, as_json=as_json)
+            time.sleep(POLL_INTERVAL.total_seconds())
+        output.print_rows(rows, as_json=as_json)
         if behind:
             names = ', '.join(str(row['entry']) for row in behind)
             print(
@@ -133,13 +133,13 @@
                 f'but not yet in force on: {names}',
                 file=sys.stderr,
             )
-            return exits.Exit.NOT_IN_FORCE
-        return exits.Exit.OK
+            return exit_status.Exit.NOT_IN_FORCE
+        return exit_status.Exit.OK
 
     def _versions(self, version: int) -> list[dict[str, typing.Any]]:
         rows: list[dict[str, typing.Any]] = []
-        for host in self._platform.entries():
-            status = self._platform.status(host)
+        for host in self._client.list_entries():
+            status = self._client.fetch_status(host)
             running = status['version'] if status else None
             rows.append(
                 {
@@ -160,13 +160,13 @@
 class DiffCommand:
     """Shows what an apply would change."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
-    def run(self, path: str, *, as_json: bool) -> exits.Exit:
+    def run(self, path: str, *, as_json: bool) -> exit_status.Exit:
         """Compare the fleet file at ``path`` with what is in force."""
         document = load_fleet(path)
-        self._platform.catch_up()
-        rows = changes.rows(self._platform.state.document, document)
-        output.show(rows, as_json=as_json)
-        return exits.Exit.OK
+        self._client.catch_up()
+        rows = fleet_diff.diff_rows(self._client.state.document, document)
+        output.print_rows(rows, as_json=as_json)
+        return exit_status.Exit.OK
--- a/src/aspenfold/_internal/commands/audit.py
+++ b/src/aspenfold/_internal/commands/audit.py
@@ -2,9 +2,9 @@
 
 import typing
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
+from aspenfold._internal.commands import fleet_client
 from aspenfold._internal.commands import output
-from aspenfold._internal.commands import platform as platform_module
 from aspenfold._internal.configuration import reader as reader_module
 
 MAX_PATHS = 4
@@ -13,8 +13,8 @@
 class AuditCommand:
     """Folds the stream from its oldest record and prints each verdict."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
     def run(
         self,
@@ -24,7 +24,7 @@
         since: int,
         verdict: str,
         as_json: bool,
-    ) -> exits.Exit:
+    ) -> exit_status.Exit:
         """Print the records that pass the filters."""
         rows = [
             row
@@ -34,14 +34,14 @@
             and (not verdict or row['verdict'] == verdict)
             and row['offset'] >= since
         ]
-        output.show(rows, as_json=as_json)
-        return exits.Exit.OK
+        output.print_rows(rows, as_json=as_json)
+        return exit_status.Exit.OK
 
     def rows(self) -> list[dict[str, typing.Any]]:
         """Return one row for each record that the log still holds."""
         rows = []
         reading = reader_module.FleetReader()
-        for page in self._platform.pages():
+        for page in self._client.read_pages():
             for record in page.records:
                 before = _before(reading, record.body)
                 single = reader_module.Page(
--- a/src/aspenfold/_internal/commands/exits.py
+++ b/src/aspenfold/_internal/commands/exit_status.py
@@ -19,7 +19,7 @@
     UNREACHABLE = 5
 
 
-EXIT_OF: dict[exceptions.Code, Exit] = {
+STATUS_BY_CODE: dict[exceptions.Code, Exit] = {
     exceptions.Code.CONFIG_CONFLICT: Exit.CONFLICT,
     exceptions.Code.NOT_IN_FORCE: Exit.NOT_IN_FORCE,
     exceptions.Code.APPEND_UNKNOWN: Exit.UNREACHABLE,
@@ -30,17 +30,17 @@
 }
 
 
-def finish(work: abc.Callable[[], Exit]) -> typing.NoReturn:
+def run_and_exit(work: abc.Callable[[], Exit]) -> typing.NoReturn:
     """Run a command and end the process with its status."""
-    sys.exit(run(work))
+    sys.exit(run_command(work))
 
 
-def run(work: abc.Callable[[], Exit]) -> Exit:
+def run_command(work: abc.Callable[[], Exit]) -> Exit:
     """Run a command; errors become a line and an exit status."""
     try:
         return work()
     except exceptions.AspenfoldError as exc:
         print(f'error: {exc}', file=sys.stderr)
-        return EXIT_OF.get(exc.failure.code, Exit.FAILED)
+        return STATUS_BY_CODE.get(exc.failure.code, Exit.FAILED)
     except KeyboardInterrupt:
         return Exit.FAILED
--- a/src/aspenfold/_internal/commands/platform.py
+++ b/src/aspenfold/_internal/commands/fleet_client.py
@@ -19,10 +19,10 @@
 from aspenfold._internal.network import http
 from aspenfold._internal.network import log_client
 
-APPEND_TRIES = 3
+MAX_APPEND_ATTEMPTS = 3
 """How often a record whose fate is unknown is appended again."""
 
-RETRY = datetime.timedelta(milliseconds=300)
+RETRY_DELAY = datetime.timedelta(milliseconds=300)
 ID_BYTES = 12
 
 
@@ -46,7 +46,7 @@
         """Return the list as the platform shows it now."""
 
 
-class Platform:
+class FleetClient:
     """The platform's services as the operators' commands use them."""
 
     def __init__(
@@ -66,7 +66,7 @@
         self._sleep = sleep
 
     @classmethod
-    def connect(cls, cfg: settings_module.OperatorSettings) -> 'Platform':
+    def connect(cls, cfg: settings_module.OperatorSettings) -> 'FleetClient':
         """Return the platform that ``cfg`` names."""
         return cls(
             cfg=cfg,
@@ -87,7 +87,7 @@
         """Who stands in the audit trail: operator and login name."""
         return f'{self.cfg.operator}/{getpass.getuser()}'
 
-    def header(self) -> dict[str, typing.Any]:
+    def record_header(self) -> dict[str, typing.Any]:
         """Return the fields that every record of ours begins with."""
         return {
             'id': secrets.token_hex(ID_BYTES),
@@ -106,9 +106,11 @@
 
     def read_records(self) -> list[reader_module.LogRecord]:
         """Return every record that the fleet stream still holds."""
-        return [record for page in self.pages() for record in page.records]
+        return [
+            record for page in self.read_pages() for record in page.records
+        ]
 
-    def pages(self) -> list[reader_module.Page]:
+    def read_pages(self) -> list[reader_module.Page]:
         """Return the fleet stream from its oldest record, in pages."""
         return self._log.read_all(records.FLEET_STREAM)
 
@@ -120,12 +122,12 @@
         there is appended again: a second copy is judged a conflict or
         no change, by the rules of the fold.
         """
-        for _ in range(APPEND_TRIES):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             try:
                 self._log.append(records.FLEET_STREAM, record)
                 judged = self._find(record.id)
             except exceptions.LogUnavailable:
-                self._sleep(RETRY.total_seconds())
+                self._sleep(RETRY_DELAY.total_seconds())
                 judged = self._find_if_up(record.id)
             if judged is not None:
                 return judged
@@ -139,7 +141,7 @@
             )
         )
 
-    def endpoint_names(self) -> list[str]:
+    def list_endpoint_names(self) -> list[str]:
         """Return the endpoints of the host list; none if it is down."""
         try:
             listing = self._hosts.read()
@@ -151,16 +153,16 @@
             if host.role is hosts.Role.ENDPOINT
         )
 
-    def entries(self) -> list[hosts.Host]:
+    def list_entries(self) -> list[hosts.Host]:
         """Return the entry hosts of the host list."""
         listing = self._hosts.read()
         return [h for h in listing.hosts if h.role is hosts.Role.ENTRY]
 
-    def status(self, host: hosts.Host) -> dict[str, typing.Any] | None:
+    def fetch_status(self, host: hosts.Host) -> dict[str, typing.Any] | None:
         """Return an entry's status, None if it does not answer."""
         return self._call(host, 'GET', '/admin/status', None)
 
-    def explain(
+    def fetch_explanation(
         self, host: hosts.Host, body: dict[str, str]
     ) -> dict[str, typing.Any] | None:
         """Return where an entry would send such a request."""
--- a/src/aspenfold/_internal/commands/changes.py
+++ b/src/aspenfold/_internal/commands/fleet_diff.py
@@ -5,10 +5,10 @@
 
 from aspenfold._internal.configuration import patch
 
-MAX_VALUE = 60
+MAX_VALUE_LENGTH = 60
 
 
-def rows(
+def diff_rows(
     old: patch.Document, new: patch.Document
 ) -> list[dict[str, typing.Any]]:
     """Return one row for each change: path, from, to."""
@@ -37,6 +37,6 @@
 
 def _short(value: object) -> str:
     text = json.dumps(value)
-    if len(text) <= MAX_VALUE:
+    if len(text) <= MAX_VALUE_LENGTH:
         return text
-    return text[: MAX_VALUE - 3] + '...'
+    return text[: MAX_VALUE_LENGTH - 3] + '...'
--- a/src/aspenfold/_internal/commands/inspect.py
+++ b/src/aspenfold/_internal/commands/inspect.py
@@ -2,22 +2,22 @@
 
 import typing
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
+from aspenfold._internal.commands import fleet_client
 from aspenfold._internal.commands import output
-from aspenfold._internal.commands import platform as platform_module
 from aspenfold._internal import exceptions
 
 
 class ShowCommand:
     """Prints the fleet in force, or an earlier version."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
-    def run(self) -> exits.Exit:
+    def run(self) -> exit_status.Exit:
         """Print the whole fleet document."""
-        self._platform.catch_up()
-        if not self._platform.state.version:
+        self._client.catch_up()
+        if not self._client.state.version:
             raise exceptions.ConfigError(
                 exceptions.Failure(
                     code=exceptions.Code.NO_FLEET,
@@ -25,29 +25,29 @@
                     remedy='run "aspenfold apply FLEET.json"',
                 )
             )
-        output.document(self._platform.state.document)
-        return exits.Exit.OK
+        output.print_json(self._client.state.document)
+        return exit_status.Exit.OK
 
 
 class StatusCommand:
     """One screen: versions, endpoints, leases, maps, what is stale."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
-    def run(self, *, as_json: bool) -> exits.Exit:
+    def run(self, *, as_json: bool) -> exit_status.Exit:
         """Ask every entry for its view."""
         reports = {
-            host.name: self._platform.status(host)
-            for host in self._platform.entries()
+            host.name: self._client.fetch_status(host)
+            for host in self._client.list_entries()
         }
         if as_json:
-            output.document(reports)
+            output.print_json(reports)
         else:
             _print_reports(reports)
         if any(report is None for report in reports.values()):
-            return exits.Exit.UNREACHABLE
-        return exits.Exit.OK
+            return exit_status.Exit.UNREACHABLE
+        return exit_status.Exit.OK
 
 
 Report = dict[str, typing.Any]
@@ -55,7 +55,7 @@
 
 def _print_reports(reports: dict[str, Report | None]) -> None:
     print('ENTRIES')
-    output.show(
+    output.print_rows(
         [_entry_row(name, report) for name, report in reports.items()],
         as_json=False,
     )
@@ -64,13 +64,15 @@
         return
     latest = max(answered, key=lambda report: report['next_offset'])
     print(f'\nENDPOINTS (seen by {latest["entry"]})')
-    output.show([_endpoint_row(e) for e in latest['endpoints']], as_json=False)
+    output.print_rows(
+        [_endpoint_row(e) for e in latest['endpoints']], as_json=False
+    )
     print('\nLEASES')
     leases = [{'lease': k, **v} for k, v in latest['leases'].items()]
-    output.show(leases, as_json=False)
+    output.print_rows(leases, as_json=False)
     print('\nMAPS')
     maps = [{'group': k, 'map': v} for k, v in latest['maps'].items()]
-    output.show(maps, as_json=False)
+    output.print_rows(maps, as_json=False)
 
 
 def _entry_row(name: str, report: Report | None) -> Report:
@@ -111,8 +113,8 @@
 class ExplainCommand:
     """Asks an entry where a request would go, rule by rule."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
     def run(
         self,
@@ -122,9 +124,9 @@
         *,
         entry: str,
         as_json: bool,
-    ) -> exits.Exit:
+    ) -> exit_status.Exit:
         """Print the rules that were tried and the endpoints."""
-        hosts = self._platform.entries()
+        hosts = self._client.list_entries()
         chosen = [h for h in hosts if not entry or h.name == entry]
         if not chosen:
             raise exceptions.ConfigError(
@@ -135,7 +137,7 @@
                     remedy=f'use one of {[h.name for h in hosts]}',
                 )
             )
-        answer = self._platform.explain(
+        answer = self._client.fetch_explanation(
             chosen[0],
             {
                 'organisation': organisation,
@@ -145,11 +147,11 @@
         )
         if answer is None:
             print(f'{chosen[0].name} does not answer')
-            return exits.Exit.UNREACHABLE
+            return exit_status.Exit.UNREACHABLE
         if as_json:
-            output.document(answer)
-            return exits.Exit.OK
-        output.show(answer['rules'], as_json=False)
+            output.print_json(answer)
+            return exit_status.Exit.OK
+        output.print_rows(answer['rules'], as_json=False)
         print(f'\npriority: {answer["priority"]}; {answer["policies"]}\n')
-        output.show(answer['endpoints'], as_json=False)
-        return exits.Exit.OK
+        output.print_rows(answer['endpoints'], as_json=False)
+        return exit_status.Exit.OK
--- a/src/aspenfold/_internal/commands/member.py
+++ b/src/aspenfold/_internal/commands/membership.py
@@ -2,18 +2,18 @@
 
 import typing
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
+from aspenfold._internal.commands import fleet_client
 from aspenfold._internal.commands import output
-from aspenfold._internal.commands import platform as platform_module
 from aspenfold._internal import exceptions
 from aspenfold._internal.models import records
 
 
-class MemberCommand:
+class MembershipCommand:
     """Records that an endpoint drains, or takes work again."""
 
-    def __init__(self, *, platform: platform_module.Platform) -> None:
-        self._platform = platform
+    def __init__(self, *, client: fleet_client.FleetClient) -> None:
+        self._client = client
 
     def run(
         self,
@@ -22,19 +22,19 @@
         *,
         reason: str,
         as_json: bool,
-    ) -> exits.Exit:
+    ) -> exit_status.Exit:
         """Record the endpoint's new state."""
         if state == 'draining':
             self._check(endpoint)
         record = records.MembershipChange(
-            **self._platform.header(),
+            **self._client.record_header(),
             endpoint=endpoint,
             state=state,
             reason=reason,
         )
-        self._platform.catch_up()
-        judged = self._platform.append(record)
-        output.show(
+        self._client.catch_up()
+        judged = self._client.append(record)
+        output.print_rows(
             [
                 {
                     'endpoint': endpoint,
@@ -45,14 +45,14 @@
             ],
             as_json=as_json,
         )
-        return exits.Exit.OK
+        return exit_status.Exit.OK
 
     def _check(self, endpoint: str) -> None:
         """Refuse a name that the host list does not have.
 
         While the host list is down a drain is not held up by it.
         """
-        known = self._platform.endpoint_names()
+        known = self._client.list_endpoint_names()
         if not known or endpoint in known:
             return
         raise exceptions.ConfigError(
--- a/src/aspenfold/_internal/commands/output.py
+++ b/src/aspenfold/_internal/commands/output.py
@@ -7,7 +7,7 @@
 Row = abc.Mapping[str, typing.Any]
 
 
-def show(rows: abc.Sequence[Row], *, as_json: bool) -> None:
+def print_rows(rows: abc.Sequence[Row], *, as_json: bool) -> None:
     """Print ``rows``, which share their keys."""
     if as_json:
         print(json.dumps(list(rows), indent=2))
@@ -26,7 +26,7 @@
         print('  '.join(padded).rstrip())
 
 
-def document(value: object) -> None:
+def print_json(value: object) -> None:
     """Print one JSON document."""
     print(json.dumps(value, indent=2))
 
--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -10,7 +10,7 @@
 import pathlib
 import typing
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.commands import output
 from aspenfold._internal import exceptions
 from aspenfold._internal.gateway import leadership
@@ -25,11 +25,13 @@
 
 NO_WAIT = datetime.timedelta(0)
 
-READ_TRIES = 3
+MAX_READ_ATTEMPTS = 3
 """Reads of a history that is trimmed meanwhile."""
 
 
-def load(path: str, decode: abc.Callable[[bytes], plan_module.Plan]) -> Plan:
+def load_plan(
+    path: str, decode: abc.Callable[[bytes], plan_module.Plan]
+) -> Plan:
     """Read a plan from a file, or raise a coded error."""
     try:
         return decode(pathlib.Path(path).read_bytes())
@@ -53,7 +55,7 @@
 # -- validate ----------------------------------------------------------------
 
 
-def mistakes(plan: Plan) -> list[Row]:
+def find_errors(plan: Plan) -> list[Row]:
     """Return what is wrong across fields, all of it at once."""
     found: list[Row] = []
     seen: set[tuple[str, str]] = set()
@@ -95,14 +97,14 @@
 class ValidateCommand:
     """Checks a plan's fields, and what they say of each other."""
 
-    def run(self, plan: Plan, *, as_json: bool) -> exits.Exit:
+    def run(self, plan: Plan, *, as_json: bool) -> exit_status.Exit:
         """Print all mistakes, or what the plan holds."""
-        found = mistakes(plan)
+        found = find_errors(plan)
         if found:
-            output.show(found, as_json=as_json)
-            return exits.Exit.USAGE
-        output.show([_summary(plan)], as_json=as_json)
-        return exits.Exit.OK
+            output.print_rows(found, as_json=as_json)
+            return exit_status.Exit.USAGE
+        output.print_rows([_summary(plan)], as_json=as_json)
+        return exit_status.Exit.OK
 
 
 def _summary(plan: Plan) -> Row:
@@ -123,7 +125,7 @@
 
     def run(
         self, plan: Plan, host: str, path: str, *, as_json: bool
-    ) -> exits.Exit:
+    ) -> exit_status.Exit:
         """Print the routes of the host that match, the one used first."""
         chosen = plan_index.PlanIndex(plan=plan).find_route(host, path)
         matching = [
@@ -134,8 +136,12 @@
         ]
         matching.sort(key=lambda r: len(r.path_prefix), reverse=True)
         rows = [_route_row(route, route is chosen) for route in matching]
-        output.show(rows, as_json=as_json)
-        return exits.Exit.OK if chosen is not None else exits.Exit.FAILED
+        output.print_rows(rows, as_json=as_json)
+        return (
+            exit_status.Exit.OK
+            if chosen is not None
+            else exit_status.Exit.FAILED
+        )
 
 
 def _route_row(route: plan_module.Route, used: bool) -> Row:
@@ -157,17 +163,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Version:
+class StoredPlan:
     """A plan, and the offset of its record."""
 
     offset: int
     plan: Plan
 
 
-async def history(platform: ports.Platform) -> list[Version]:
+async def read_history(platform: ports.Platform) -> list[StoredPlan]:
     """Return all plans that the store still has, oldest first."""
     start = 0
-    for _ in range(READ_TRIES):
+    for _ in range(MAX_READ_ATTEMPTS):
         try:
             return await _read_from(platform, start)
         except ports.HistoryTrimmed as exc:
@@ -176,8 +182,8 @@
     return list(_versions(platform, page))
 
 
-async def _read_from(platform: ports.Platform, start: int) -> list[Version]:
-    found: list[Version] = []
+async def _read_from(platform: ports.Platform, start: int) -> list[StoredPlan]:
+    found: list[StoredPlan] = []
     while True:
         page = await platform.store.read(platform.plan_topic, start, NO_WAIT)
         if not page.records:
@@ -188,14 +194,14 @@
 
 def _versions(
     platform: ports.Platform, page: ports.Page
-) -> abc.Iterator[Version]:
+) -> abc.Iterator[StoredPlan]:
     for record in page.records:
         if record.key == platform.plan_key and record.value:
             plan = platform.decode_plan(record.value)
-            yield Version(offset=record.offset, plan=plan)
+            yield StoredPlan(offset=record.offset, plan=plan)
 
 
-def changes(old: Plan, new: Plan) -> list[str]:
+def describe_changes(old: Plan, new: Plan) -> list[str]:
     """Return what differs between two plans, a line each."""
     found = _named_changes(
         'route',
@@ -250,15 +256,15 @@
     """Says what each accepted plan changed."""
 
     def run(
-        self, versions: abc.Sequence[Version], *, as_json: bool
-    ) -> exits.Exit:
+        self, versions: abc.Sequence[StoredPlan], *, as_json: bool
+    ) -> exit_status.Exit:
         """Print a row for each change, the oldest kept plan first."""
         rows: list[Row] = []
         before: Plan | None = None
         for version in versions:
             lines = ['the oldest plan that the store has']
             if before is not None:
-                lines = changes(before, version.plan) or ['nothing']
+                lines = describe_changes(before, version.plan) or ['nothing']
             rows += [
                 {
                     'offset': version.offset,
@@ -268,14 +274,14 @@
                 for line in lines
             ]
             before = version.plan
-        output.show(rows, as_json=as_json)
-        return exits.Exit.OK
+        output.print_rows(rows, as_json=as_json)
+        return exit_status.Exit.OK
 
 
 # -- status ------------------------------------------------------------------
 
 
-async def status(platform: ports.Platform) -> dict[str, list[Row]]:
+async def read_status(platform: ports.Platform) -> dict[str, list[Row]]:
     """Return what the store has: plan, endpoints, gateways, lease."""
     store = platform.store
     plans = await store.newest(platform.plan_topic)
@@ -318,13 +324,15 @@
 class StatusCommand:
     """One screen: what the store has."""
 
-    def run(self, parts: dict[str, list[Row]], *, as_json: bool) -> exits.Exit:
+    def run(
+        self, parts: dict[str, list[Row]], *, as_json: bool
+    ) -> exit_status.Exit:
         """Print each part."""
         if as_json:
-            output.document(parts)
-            return exits.Exit.OK
+            output.print_json(parts)
+            return exit_status.Exit.OK
         for name, rows in parts.items():
             print(name.upper())
-            output.show(rows, as_json=False)
+            output.print_rows(rows, as_json=False)
             print()
-        return exits.Exit.OK
+        return exit_status.Exit.OK
--- a/src/aspenfold/_internal/commands/serve.py
+++ b/src/aspenfold/_internal/commands/serve.py
@@ -5,7 +5,7 @@
 
 import fire
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.models import base
 from aspenfold._internal.models import settings as settings_module
 
@@ -18,10 +18,10 @@
     def command(settings: str) -> None:
         """Serve with the JSON file SETTINGS until SIGTERM."""
 
-        def work() -> exits.Exit:
+        def work() -> exit_status.Exit:
             run(settings_module.load(settings, cls))
-            return exits.Exit.OK
+            return exit_status.Exit.OK
 
-        exits.finish(work)
+        exit_status.run_and_exit(work)
 
     fire.Fire(command, name=program)
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.observability import events
 from aspenfold._internal.processes import gateway
@@ -13,10 +13,10 @@
 
 def main() -> None:
     """Serve by the settings file that the environment names."""
-    exits.finish(_serve)
+    exit_status.run_and_exit(_serve)
 
 
-def _serve() -> exits.Exit:
+def _serve() -> exit_status.Exit:
     cfg = settings.load_gateway(settings.path_from_environment())
     events.configure_output()
     platform = factory.create_platform(cfg.store)
@@ -31,4 +31,4 @@
         await process.run()
 
     asyncio.run(run())
-    return exits.Exit.OK
+    return exit_status.Exit.OK
--- a/src/aspenfold/cli/operator.py
+++ b/src/aspenfold/cli/operator.py
@@ -8,11 +8,11 @@
 
 from aspenfold._internal.commands import apply as apply_module
 from aspenfold._internal.commands import audit as audit_module
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
+from aspenfold._internal.commands import fleet_client
 from aspenfold._internal.commands import inspect as inspect_module
-from aspenfold._internal.commands import member as member_module
+from aspenfold._internal.commands import membership as membership_module
 from aspenfold._internal.commands import output
-from aspenfold._internal.commands import platform as platform_module
 from aspenfold._internal.commands import trace as trace_module
 from aspenfold._internal.models import fleet
 from aspenfold._internal.models import settings as settings_module
@@ -20,7 +20,7 @@
 SETTINGS_VARIABLE = 'ASPENFOLD_SETTINGS'
 
 
-class Operator:
+class OperatorCommands:
     """Operate a fleet: validate, diff, apply, inspect, drain.
 
     Every command takes --json where it prints a table.  The platform's
@@ -37,21 +37,21 @@
     def validate(self, fleet_file: str) -> None:
         """Check a fleet file.  Example: aspenfold validate fleet.json"""
 
-        def work() -> exits.Exit:
+        def work() -> exit_status.Exit:
             apply_module.load_fleet(fleet_file)
             print(f'{fleet_file} is a valid fleet')
-            return exits.Exit.OK
+            return exit_status.Exit.OK
 
-        exits.finish(work)
+        exit_status.run_and_exit(work)
 
     def schema(self) -> None:
         """Print the JSON Schema of the fleet file."""
-        output.document(fleet.Fleet.model_json_schema())
+        output.print_json(fleet.Fleet.model_json_schema())
 
     def diff(self, fleet_file: str, json: bool = False) -> None:
         """Show what an apply would change."""
-        exits.finish(
-            lambda: apply_module.DiffCommand(platform=self._platform()).run(
+        exit_status.run_and_exit(
+            lambda: apply_module.DiffCommand(client=self._fleet_client()).run(
                 fleet_file, as_json=json
             )
         )
@@ -68,8 +68,8 @@
 
         Example: aspenfold apply fleet.json --base 41 --reason 'Easter'
         """
-        exits.finish(
-            lambda: apply_module.ApplyCommand(platform=self._platform()).run(
+        exit_status.run_and_exit(
+            lambda: apply_module.ApplyCommand(client=self._fleet_client()).run(
                 fleet_file,
                 base_version=base,
                 reason=str(reason),
@@ -80,8 +80,10 @@
 
     def show(self) -> None:
         """Print the fleet in force."""
-        exits.finish(
-            lambda: inspect_module.ShowCommand(platform=self._platform()).run()
+        exit_status.run_and_exit(
+            lambda: inspect_module.ShowCommand(
+                client=self._fleet_client()
+            ).run()
         )
 
     def history(self, json: bool = False) -> None:
@@ -100,8 +102,8 @@
 
         --kind is one of config, lease, map, membership, snapshot.
         """
-        exits.finish(
-            lambda: audit_module.AuditCommand(platform=self._platform()).run(
+        exit_status.run_and_exit(
+            lambda: audit_module.AuditCommand(client=self._fleet_client()).run(
                 kind=kind,
                 author=str(author),
                 since=since,
@@ -112,9 +114,9 @@
 
     def status(self, json: bool = False) -> None:
         """Show versions, endpoints, leases, maps, and what is stale."""
-        exits.finish(
+        exit_status.run_and_exit(
             lambda: inspect_module.StatusCommand(
-                platform=self._platform()
+                client=self._fleet_client()
             ).run(as_json=json)
         )
 
@@ -139,9 +141,9 @@
         json: bool = False,
     ) -> None:
         """Show, rule by rule, where such a request would go."""
-        exits.finish(
+        exit_status.run_and_exit(
             lambda: inspect_module.ExplainCommand(
-                platform=self._platform()
+                client=self._fleet_client()
             ).run(
                 organisation,
                 service,
@@ -158,7 +160,7 @@
 
         Example: aspenfold trace 9c41d07be2a35f68 gateway-*.log
         """
-        exits.finish(
+        exit_status.run_and_exit(
             lambda: trace_module.TraceCommand().run(
                 str(request_id), log_files, as_json=json
             )
@@ -171,8 +173,10 @@
         reason: str,
         json: bool,
     ) -> None:
-        exits.finish(
-            lambda: member_module.MemberCommand(platform=self._platform()).run(
+        exit_status.run_and_exit(
+            lambda: membership_module.MembershipCommand(
+                client=self._fleet_client()
+            ).run(
                 endpoint,
                 state,
                 reason=str(reason),
@@ -180,13 +184,13 @@
             )
         )
 
-    def _platform(self) -> platform_module.Platform:
+    def _fleet_client(self) -> fleet_client.FleetClient:
         cfg = settings_module.load(
             self._settings, settings_module.OperatorSettings
         )
-        return platform_module.Platform.connect(cfg)
+        return fleet_client.FleetClient.connect(cfg)
 
 
 def main() -> None:
     """Run the command line."""
-    fire.Fire(Operator, name='aspenfold')
+    fire.Fire(OperatorCommands, name='aspenfold')
--- a/src/aspenfold/cli/plan.py
+++ b/src/aspenfold/cli/plan.py
@@ -6,7 +6,7 @@
 
 import fire
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.commands import plans
 from aspenfold._internal import exceptions
 from aspenfold._internal.gateway import ports
@@ -18,7 +18,7 @@
 Result = typing.TypeVar('Result')
 
 
-class PlanTool:
+class PlanCommands:
     """Check plans, and see what the platform's store has.
 
     The store is the one that the settings file of any gateway names, or
@@ -33,9 +33,9 @@
 
     def validate(self, plan_file: str, json: bool = False) -> None:
         """Check a plan file.  Example: aspenfold-plan validate plan.json"""
-        exits.finish(
+        exit_status.run_and_exit(
             lambda: plans.ValidateCommand().run(
-                plans.load(plan_file, config.decode), as_json=json
+                plans.load_plan(plan_file, config.decode), as_json=json
             )
         )
 
@@ -44,28 +44,28 @@
     ) -> None:
         """Show which route a request takes, by a file or the store."""
 
-        def work() -> exits.Exit:
+        def work() -> exit_status.Exit:
             if plan_file:
-                plan = plans.load(plan_file, config.decode)
+                plan = plans.load_plan(plan_file, config.decode)
             else:
-                plan = self._ask(plans.history)[-1].plan
+                plan = self._ask(plans.read_history)[-1].plan
             return plans.ExplainCommand().run(plan, host, path, as_json=json)
 
-        exits.finish(work)
+        exit_status.run_and_exit(work)
 
     def status(self, json: bool = False) -> None:
         """Show the newest plan, endpoints, gateways and leases."""
-        exits.finish(
+        exit_status.run_and_exit(
             lambda: plans.StatusCommand().run(
-                self._ask(plans.status), as_json=json
+                self._ask(plans.read_status), as_json=json
             )
         )
 
     def audit(self, json: bool = False) -> None:
         """Show what each plan that the store still has changed."""
-        exits.finish(
+        exit_status.run_and_exit(
             lambda: plans.AuditCommand().run(
-                self._ask(plans.history), as_json=json
+                self._ask(plans.read_history), as_json=json
             )
         )
 
@@ -99,4 +99,4 @@
 
 def main() -> None:
     """Run the command line."""
-    fire.Fire(PlanTool, name='aspenfold-plan')
+    fire.Fire(PlanCommands, name='aspenfold-plan')
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -3,7 +3,7 @@
 import asyncio
 import sys
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.observability import events
 from aspenfold._internal.processes import rank_agent
@@ -13,10 +13,10 @@
 
 def main() -> None:
     """Serve by the settings file that the environment names."""
-    sys.exit(exits.run(_serve))
+    sys.exit(exit_status.run_command(_serve))
 
 
-def _serve() -> exits.Exit:
+def _serve() -> exit_status.Exit:
     cfg = settings.load_rank_agent(settings.path_from_environment())
     events.configure_output()
 
@@ -31,4 +31,4 @@
         await agent.run()
 
     asyncio.run(run())
-    return exits.Exit.OK
+    return exit_status.Exit.OK
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -12,7 +12,7 @@
 from aspenfold_standins import platform_worker as workers
 import pytest
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold.platform import settings
 from tests.lib import free_ports
 from tests.lib import gateway_rig as rigs
@@ -176,7 +176,7 @@
     ended = subprocess.run(
         PROGRAM, env=env, capture_output=True, text=True, timeout=30
     )
-    assert ended.returncode == exits.Exit.USAGE
+    assert ended.returncode == exit_status.Exit.USAGE
     assert '[5000]' in ended.stderr
     assert field in ended.stderr
     assert 'try:' in ended.stderr
@@ -208,7 +208,7 @@
             text=True,
             timeout=30,
         )
-    assert ended.returncode == exits.Exit.FAILED
+    assert ended.returncode == exit_status.Exit.FAILED
     assert '[5001]' in ended.stderr
     assert f'{ADDRESS}:{ports[field]}' in ended.stderr
     assert field in ended.stderr
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -13,7 +13,7 @@
 from aspenfold_standins import platform_worker as workers
 import pytest
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import ports
 from aspenfold._internal.gateway import settings as settings_module
@@ -232,6 +232,6 @@
             text=True,
             timeout=30,
         )
-        assert result.returncode == exits.Exit.USAGE
+        assert result.returncode == exit_status.Exit.USAGE
         assert '[5000]' in result.stderr
         assert field in result.stderr
--- a/tests/lib/operators.py
+++ b/tests/lib/operators.py
@@ -4,7 +4,7 @@
 import datetime
 import typing
 
-from aspenfold._internal.commands import platform
+from aspenfold._internal.commands import fleet_client
 from aspenfold._internal.configuration import patch
 from aspenfold._internal.configuration import reader
 from aspenfold._internal import exceptions
@@ -86,9 +86,9 @@
         return hosts.HostList(version=1, hosts=[host])
 
 
-def operator(log: FlakyLog) -> platform.Platform:
+def operator(log: FlakyLog) -> fleet_client.FleetClient:
     """Return a new operator's view of the platform."""
-    return platform.Platform(
+    return fleet_client.FleetClient(
         cfg=settings.OperatorSettings.model_validate(SETTINGS),
         clock=clock.ManualClock(start=sim_module.START),
         log=log,
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -11,8 +11,8 @@
 
 from aspenfold._internal.commands import apply
 from aspenfold._internal.commands import audit
-from aspenfold._internal.commands import exits
-from aspenfold._internal.commands import member
+from aspenfold._internal.commands import exit_status
+from aspenfold._internal.commands import membership
 from aspenfold._internal.configuration import reader
 from aspenfold._internal.configuration import reducer
 from aspenfold._internal import exceptions
@@ -35,9 +35,9 @@
 
 def run_apply(
     log: operators.FlakyLog, path: str, base: int | None = None
-) -> exits.Exit:
+) -> exit_status.Exit:
     """Apply the fleet at ``path`` as a new operator."""
-    command = apply.ApplyCommand(platform=operators.operator(log))
+    command = apply.ApplyCommand(client=operators.operator(log))
     return command.run(
         path, base_version=base, reason='', wait=NO_WAIT, as_json=True
     )
@@ -45,9 +45,9 @@
 
 def names(log: operators.FlakyLog) -> str:
     """Return the name of the fleet in force."""
-    platform = operators.operator(log)
-    platform.catch_up()
-    return str(platform.state.document.get('name'))
+    client = operators.operator(log)
+    client.catch_up()
+    return str(client.state.document.get('name'))
 
 
 def test_a_race_has_one_winner_and_a_clear_conflict(
@@ -84,9 +84,9 @@
     """The fate of an append is read from the log."""
     log.lose_answers = lost
     log.fail_appends = failed
-    assert run_apply(log, write(tmp_path, 'first')) is exits.Exit.OK
+    assert run_apply(log, write(tmp_path, 'first')) is exit_status.Exit.OK
     assert names(log) == 'first'
-    rows = audit.AuditCommand(platform=operators.operator(log)).rows()
+    rows = audit.AuditCommand(client=operators.operator(log)).rows()
     accepted = [row for row in rows if row['verdict'] == 'accepted']
     assert len(accepted) == 1
 
@@ -120,11 +120,11 @@
 ) -> None:
     """P8: accepted and rejected changes, each with its offset."""
     run_apply(log, write(tmp_path, 'first'))
-    platform = operators.operator(log)
-    member.MemberCommand(platform=platform).run(
+    client = operators.operator(log)
+    membership.MembershipCommand(client=client).run(
         'till-0', 'draining', reason='repair', as_json=True
     )
-    rows = audit.AuditCommand(platform=operators.operator(log)).rows()
+    rows = audit.AuditCommand(client=operators.operator(log)).rows()
     assert [row['offset'] for row in rows] == [1, 2]
     assert rows[0]['from'] == 'version 0'
     assert rows[0]['to'].startswith('version 1: ')
@@ -163,7 +163,7 @@
 
 def audited(log: operators.FlakyLog) -> list[str]:
     """Return the verdicts that the audit shows."""
-    command = audit.AuditCommand(platform=operators.operator(log))
+    command = audit.AuditCommand(client=operators.operator(log))
     return [row['verdict'] for row in command.rows()]
 
 
@@ -171,7 +171,7 @@
     log: operators.FlakyLog,
 ) -> None:
     """A mistyped name is told, with the names that there are."""
-    command = member.MemberCommand(platform=operators.operator(log))
+    command = membership.MembershipCommand(client=operators.operator(log))
     with pytest.raises(exceptions.ConfigError) as caught:
         command.run('till-9', 'draining', reason='', as_json=True)
     assert caught.value.failure.code is exceptions.Code.NOT_FOUND
--- a/tests/unit/test_plans.py
+++ b/tests/unit/test_plans.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.commands import plans
 from aspenfold._internal import exceptions
 from aspenfold._internal.gateway import plan
@@ -28,7 +28,10 @@
 ) -> None:
     """And is summed up without its keys."""
     found = decoded(rigs.plan(4))
-    assert plans.ValidateCommand().run(found, as_json=False) is exits.Exit.OK
+    assert (
+        plans.ValidateCommand().run(found, as_json=False)
+        is exit_status.Exit.OK
+    )
     text = capsys.readouterr().out
     assert 'version' in text
     assert rigs.KEY not in text
@@ -53,7 +56,7 @@
     )
     told = [
         (str(row['where']).rpartition(rigs.HOST)[2], str(row['mistake']))
-        for row in plans.mistakes(found)
+        for row in plans.find_errors(found)
     ]
     assert told == [
         ('/a/', 'stands twice'),
@@ -71,10 +74,10 @@
     """It names the file, and the field that is wrong."""
     path = tmp_path / 'plan.json'
     with pytest.raises(exceptions.ConfigError, match='cannot read'):
-        plans.load(str(path), config.decode)
+        plans.load_plan(str(path), config.decode)
     path.write_text('{"version": "x"}')
     with pytest.raises(exceptions.ConfigError, match='version') as caught:
-        plans.load(str(path), config.decode)
+        plans.load_plan(str(path), config.decode)
     assert caught.value.failure.code is exceptions.Code.CONFIG_INVALID
 
 
@@ -89,14 +92,14 @@
     )
     command = plans.ExplainCommand()
     status = command.run(found, rigs.HOST, '/a/b/c', as_json=True)
-    assert status is exits.Exit.OK
+    assert status is exit_status.Exit.OK
     rows = json.loads(capsys.readouterr().out)
     assert [(r['prefix'], r['used']) for r in rows] == [
         ('/a/b/', True),
         ('/a/', False),
     ]
     status = command.run(found, rigs.HOST, '/none', as_json=True)
-    assert status is exits.Exit.FAILED
+    assert status is exit_status.Exit.FAILED
 
 
 def test_changes_name_the_fields_and_count_keys() -> None:
@@ -113,8 +116,8 @@
             'idle_timeout_ms': 3000,
         },
     )
-    assert plans.changes(old, old) == []
-    assert plans.changes(old, new) == [
+    assert plans.describe_changes(old, old) == []
+    assert plans.describe_changes(old, new) == [
         f'route {rigs.HOST}/c/ added',
         f'route {rigs.HOST}/b/ removed',
         f'route {rigs.HOST}/a/ changed: max_attempts 2 to 3',
--- a/tests/unit/test_trace.py
+++ b/tests/unit/test_trace.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.commands import trace
 from aspenfold._internal import exceptions
 
@@ -31,11 +31,11 @@
 
 def test_lines_come_in_order_from_all_files(tmp_path: pathlib.Path) -> None:
     """Those of other requests and broken lines are left out."""
-    lines = trace.read(logs(tmp_path))
-    found = trace.story(lines, 'a')
+    lines = trace.read_logs(logs(tmp_path))
+    found = trace.request_lines(lines, 'a')
     assert [x.fields['event'] for x in found] == [300, 301, 202, 999]
     assert found[1].source == '1.5 host-2'
-    assert trace.left_out(lines) == {'x': 4}
+    assert trace.count_omitted_lines(lines) == {'x': 4}
 
 
 def test_the_command_prints_the_story(
@@ -44,15 +44,15 @@
     """With what was left out; an unknown id fails."""
     command = trace.TraceCommand()
     paths = logs(tmp_path)
-    assert command.run('a', paths, as_json=False) is exits.Exit.OK
+    assert command.run('a', paths, as_json=False) is exit_status.Exit.OK
     printed = capsys.readouterr().out
     assert 'CALL_FAILED' in printed
     assert 'code=1102' in printed
     assert '4 lines of x were left out' in printed
-    assert command.run('zz', paths, as_json=False) is exits.Exit.FAILED
+    assert command.run('zz', paths, as_json=False) is exit_status.Exit.FAILED
 
 
 def test_a_missing_log_is_named() -> None:
     """With what to do."""
     with pytest.raises(exceptions.ConfigError, match='nowhere.log'):
-        trace.read(['nowhere.log'])
+        trace.read_logs(['nowhere.log'])
