--- a/src/aspenfold/_internal/processes/watcher.py
+++ b/src/aspenfold/_internal/processes/report_poller.py
@@ -29,10 +29,10 @@
     kernel: entry_kernel.EntryKernel
     clock: clock_module.Clock
     clients: agent_client.AgentClients
-    tasks: tasks_module.Tasks
+    tasks: tasks_module.BackgroundTasks
 
 
-class Watcher:
+class ReportPoller:
     """One report an interval from each watched endpoint."""
 
     def __init__(self, *, entry: Entry) -> None:
