--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -147,10 +147,10 @@
     ) -> None:
         """Record a complete answer and how long it took."""
         self.view.record_success(endpoint)
-        taken = now - call.received_at
-        before = self._service_time.get(call.service, taken)
+        service_time = now - call.received_at
+        before = self._service_time.get(call.service, service_time)
         self._service_time[call.service] = (
-            before + (taken - before) * MOVING_AVERAGE_WEIGHT
+            before + (service_time - before) * MOVING_AVERAGE_WEIGHT
         )
 
     @property
@@ -243,9 +243,9 @@
     ) -> list[actions.Action]:
         """Apply a page of a claim stream and notify the calls it affects."""
         self._log_up = True
-        seen = self._claim_tables[stream].apply_page(page, now)
+        claimed_keys = self._claim_tables[stream].apply_page(page, now)
         result: list[actions.Action] = []
-        for key in sorted(seen):
+        for key in sorted(claimed_keys):
             for call_id in sorted(self._calls_by_key.get(key, ())):
                 flow = self._flows[call_id]
                 result.extend(self._after_event(flow, flow.on_claims(now)))
