--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -16,6 +16,10 @@
     not reported or the report is no longer valid.  ``in_flight`` is the
     number of this entry's own calls there, ``in_flight_at_report`` that
     number at the last report.  ``failures`` are consecutive.
+
+    The other fields are for endpoints of a rank group: ``map_version`` is
+    the newest map plan that the agent knows, ``map_in_use`` the version of
+    the current step, 0 for none, and ``expert_load`` the load by expert.
     """
 
     host: hosts.Host
@@ -48,8 +52,8 @@
         change since then of this entry's own calls is added.
         """
         reported = self.load.running + self.load.waiting
-        change = self.in_flight - self.in_flight_at_report
-        return max(reported + change, self.in_flight) / max(
+        count_change = self.in_flight - self.in_flight_at_report
+        return max(reported + count_change, self.in_flight) / max(
             1, self.load.capacity
         )
 
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -3,7 +3,7 @@
 import asyncio
 import sys
 
-from aspenfold._internal.commands import exits
+from aspenfold._internal.commands import exit_status
 from aspenfold._internal.kernel import clock
 from aspenfold._internal.observability import events
 from aspenfold._internal.processes import rank_agent
@@ -13,10 +13,10 @@
 
 def main() -> None:
     """Serve by the settings file that the environment names."""
-    sys.exit(exits.run(_serve))
+    sys.exit(exit_status.run_command(_serve))
 
 
-def _serve() -> exits.Exit:
+def _serve() -> exit_status.Exit:
     cfg = settings.load_rank_agent(settings.path_from_environment())
     events.configure_output()
 
@@ -24,11 +24,11 @@
         agent = rank_agent.RankAgent(
             cfg=cfg,
             engine=engine.EngineClient(),
-            questions=engine.READ_TARGETS,
-            order=engine.ORDER_TARGET,
+            read_targets=engine.READ_TARGETS,
+            order_target=engine.ORDER_TARGET,
             clock=clock.MonotonicClock(),
         )
         await agent.run()
 
     asyncio.run(run())
-    return exits.Exit.OK
+    return exit_status.Exit.OK
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -544,7 +544,7 @@
     )
     load = [rng.paretovariate(1.0) for _ in range(24)]
     current = [[e for e in range(24) if e % 8 == r] for r in range(8)]
-    plan = descent.Descent().plan(shape, load, current, PRICE)
+    plan = descent.DescentPlanner().plan(shape, load, current, PRICE)
     assert {e for experts in plan for e in experts} == set(range(24))
     for before, after in zip(current, plan, strict=True):
         assert len(after) <= 4
@@ -562,7 +562,7 @@
     for seed in range(20):
         load = [1 / (i + 1) ** 1.1 for i in range(64)]
         random.Random(seed).shuffle(load)
-        plan = descent.Descent().plan(shape, load, current, PRICE)
+        plan = descent.DescentPlanner().plan(shape, load, current, PRICE)
         assert planner.skew(plan, load) < 1.25
 
 
@@ -575,11 +575,11 @@
         written.append(data)
         return len(data)
 
-    destination = output.Output(write=write, monotonic=lambda: now[0])
+    destination = output.LogDestination(write=write, monotonic=lambda: now[0])
     for _ in range(1000):
         destination({'message_type': 'flood'})
     destination({'message_type': 'rare'})
-    assert len(written) == int(output.BURST) + 1
+    assert len(written) == int(output.BURST_LINES) + 1
     now[0] = 10.0
     destination({'message_type': 'rare'})
     assert json.loads(written[-1])['left_out'] == {'flood': 700}
@@ -591,8 +591,8 @@
     def write(data: bytes) -> int:
         raise BlockingIOError
 
-    destination = output.Output(write=write)
+    destination = output.LogDestination(write=write)
     for number in range(5000):
         destination({'message_type': str(number), 'text': 'x' * 100})
     assert len(destination._pending) <= output.MAX_PENDING_BYTES
-    assert destination.left_out > 0
+    assert destination.dropped_lines > 0
