--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -3,7 +3,7 @@
 import statistics
 
 from bench import report
-from tests.lib import group_world
+from tests.lib import simulated_group
 
 SEEDS = 20
 LIMIT_MS = 20_000
@@ -11,7 +11,7 @@
 
 def _pause(seed: int, fault: str) -> float:
     """Return the ms from the fault to the first step after it."""
-    world = group_world.GroupWorld(seed=seed)
+    world = simulated_group.SimulatedGroup(seed=seed)
     world.put_plan(5)
     world.sim.run(1500 + seed * 37)
     if fault == 'agent of a rank restarted':
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -4,7 +4,7 @@
 import pathlib
 
 import pytest
-from tests.lib import client as client_module
+from tests.lib import deployment_client
 
 from aspenfold_standins import engine
 from aspenfold_standins import launcher
@@ -14,9 +14,11 @@
 
 
 @pytest.fixture
-def client(deployment: launcher.Deployment) -> client_module.Client:
+def client(
+    deployment: launcher.Deployment,
+) -> deployment_client.DeploymentClient:
     """Return a caller of the small deployment."""
-    return client_module.Client(deployment)
+    return deployment_client.DeploymentClient(deployment)
 
 
 def busy(deployment: launcher.Deployment, names: tuple[str, ...]) -> list[str]:
@@ -33,7 +35,7 @@
 
 
 def test_keyed_job_survives_a_killed_entry(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P4: the till asks another entry; the job runs once."""
     for name in PLAINS:
@@ -48,7 +50,7 @@
 
 
 def test_keyed_job_with_a_killed_agent_is_unknown_for_good(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P4, P3: the key's memory is lost, so nobody runs it again."""
     for name in PLAINS:
@@ -65,7 +67,7 @@
 
 
 def test_frozen_agent_answers_both_submissions_once_thawed(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P4, P2: a pause delays the one answer and doubles nothing."""
     for name in PLAINS:
@@ -90,7 +92,7 @@
 
 
 def test_platform_outage(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P4, P7, P1: tickets run, other keys wait, fleet and steps go on."""
     ticket = client.post(0, '/v1/tickets', {'service': 'till'})
@@ -126,7 +128,7 @@
 
 def test_lost_append_answers(
     deployment: launcher.Deployment,
-    client: client_module.Client,
+    client: deployment_client.DeploymentClient,
     tmp_path: pathlib.Path,
 ) -> None:
     """P4, P7: an append that took effect is neither lost nor doubled."""
@@ -145,7 +147,7 @@
 
 
 def test_lost_endpoint_answer_is_unknown(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P3, P4: the endpoint ran the job, and its answer is lost, twice."""
     for name in PLAINS:
@@ -156,7 +158,7 @@
 
 
 def test_stream_resumes_after_a_killed_agent(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P2, P1: the other rank goes on, once the agent is replaced."""
     stream = client.later(client.stream, 0, 'Credo', 300)
@@ -179,7 +181,7 @@
 
 
 def test_frozen_leader_and_stalled_rank(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P1: the group waits and goes on, with one map in each step."""
     before = one_map(deployment)
@@ -208,7 +210,7 @@
 
 
 def test_graceful_shutdowns_cut_nothing(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P6, P5: SIGTERM at the agent and at the entry, under streams."""
     streams = [
@@ -227,7 +229,7 @@
 
 
 def test_drained_endpoint_gets_no_new_work(
-    deployment: launcher.Deployment, client: client_module.Client
+    deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P5: the agent itself refuses, whatever an entry still believes."""
     deployment.fault('hosts', lag_ms=60_000)
--- a/tests/functional/test_programs.py
+++ b/tests/functional/test_programs.py
@@ -9,7 +9,7 @@
 import threading
 
 import pytest
-from tests.lib import client as client_module
+from tests.lib import deployment_client
 import urllib3
 
 from aspenfold_standins import launcher
@@ -73,7 +73,7 @@
 
 def test_http_errors_and_health(deployment: launcher.Deployment) -> None:
     """Oversized bodies, strange paths, wrong methods; and metrics."""
-    client = client_module.Client(deployment)
+    client = deployment_client.DeploymentClient(deployment)
     large = client.post(0, '/services/till/ping', {'x': 'y' * 1_100_000})
     assert (large.status, large.code) == (413, 1004)
     nothing = client.post(0, '/nothing/here', {})
@@ -104,7 +104,7 @@
         pool = urllib3.PoolManager(retries=False)
         start.wait()
         url = entry.url + '/services/till/ping'
-        headers = client_module.HEADERS
+        headers = deployment_client.HEADERS
         return pool.request('POST', url, json={}, headers=headers).status
 
     with concurrent.futures.ThreadPoolExecutor(BURST) as executor:
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -188,6 +188,6 @@
 
     scene = Scene(tmp_path)
     scene.system.group.violation = (
-        system_module.group_module.rank_world.Violation('two')
+        system_module.group_module.simulated_ranks.MixedMapsError('two')
     )
     assert 'mixed maps' in scene.broken()
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -7,7 +7,7 @@
 from aspenfold_standins import sim as sim_module
 from tests.lib import fleets
 from tests.lib import operators
-from tests.lib import world as world_module
+from tests.lib import simulated_cluster
 
 FAULT_MS = 6000
 """How long calls and faults come."""
@@ -19,21 +19,23 @@
 """How long a caller waits before it submits a key again."""
 
 MAX_SUBMISSIONS = 4
-Fault = abc.Callable[['Chaos'], None]
+Fault = abc.Callable[['ChaosRun'], None]
 
 
-class Chaos:
+class ChaosRun:
     """Drives one world by random calls and faults."""
 
     def __init__(self, *, seed: int, faults: bool = True) -> None:
-        self.world = world_module.World(seed=seed, entries=3, endpoints=3)
+        self.world = simulated_cluster.SimulatedCluster(
+            seed=seed, entries=3, endpoints=3
+        )
         self.sim = self.world.sim
         self.rng = self.sim.rng
         self.with_faults = faults
         self.faults_done = 0
         self._jobs = 0
 
-    def run(self) -> world_module.World:
+    def run(self) -> simulated_cluster.SimulatedCluster:
         """Run to the end and return the world with its history."""
         for _ in range(self.rng.randint(10, 30)):
             self.sim.after(self.rng.random() * FAULT_MS, self._call)
@@ -92,14 +94,14 @@
         self.faults_done += 1
         fault(self)
 
-    def _alive_agents(self, service: str) -> list[world_module.AgentNode]:
+    def _alive_agents(self, service: str) -> list[simulated_cluster.AgentNode]:
         return [
             agent
             for name, agent in sorted(self.world.agents.items())
             if agent.alive and name.startswith(service)
         ]
 
-    def _some_agent(self) -> world_module.AgentNode | None:
+    def _some_agent(self) -> simulated_cluster.AgentNode | None:
         agents = self._alive_agents('')
         return self.rng.choice(agents) if agents else None
 
@@ -237,18 +239,18 @@
 
 
 FAULTS: tuple[Fault, ...] = (
-    Chaos.kill_agent,
-    Chaos.freeze_node,
-    Chaos.freeze_node,
-    Chaos.kill_entry,
-    Chaos.cut_zones,
-    Chaos.platform_down,
-    Chaos.platform_slow,
-    Chaos.break_legs,
-    Chaos.bad_network,
-    Chaos.lose_answers,
-    Chaos.drain,
-    Chaos.leave,
-    Chaos.race_operators,
-    Chaos.lapse_lease,
+    ChaosRun.kill_agent,
+    ChaosRun.freeze_node,
+    ChaosRun.freeze_node,
+    ChaosRun.kill_entry,
+    ChaosRun.cut_zones,
+    ChaosRun.platform_down,
+    ChaosRun.platform_slow,
+    ChaosRun.break_legs,
+    ChaosRun.bad_network,
+    ChaosRun.lose_answers,
+    ChaosRun.drain,
+    ChaosRun.leave,
+    ChaosRun.race_operators,
+    ChaosRun.lapse_lease,
 )
--- a/tests/lib/client.py
+++ b/tests/lib/deployment_client.py
@@ -36,7 +36,7 @@
         return ''.join(c['choices'][0]['text'] for c in chunks)
 
 
-class Client:
+class DeploymentClient:
     """Sends requests to a deployment's entries, at the same time too."""
 
     def __init__(self, deployment: launcher.Deployment) -> None:
--- a/tests/lib/history.py
+++ b/tests/lib/history_checks.py
@@ -3,7 +3,7 @@
 import datetime
 
 from aspenfold._internal import exceptions
-from tests.lib import world as world_module
+from tests.lib import simulated_cluster
 
 
 HAND_OVER = datetime.timedelta(seconds=1)
@@ -11,8 +11,9 @@
 
 
 def runs_of(
-    world: world_module.World, submission: world_module.Submission
-) -> list[world_module.Execution]:
+    world: simulated_cluster.SimulatedCluster,
+    submission: simulated_cluster.Submission,
+) -> list[simulated_cluster.Execution]:
     """Return the executions that this submission caused."""
     return [
         run
@@ -21,7 +22,7 @@
     ]
 
 
-def at_most_once(world: world_module.World) -> list[str]:
+def at_most_once(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """P4: no key of a call that must not be repeated runs twice."""
     calls = {s.call.call_id: s.call for s in world.submissions}
     counts: dict[str, int] = {}
@@ -36,7 +37,7 @@
     ]
 
 
-def not_run_is_true(world: world_module.World) -> list[str]:
+def not_run_is_true(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """P3: what was answered as not run has no execution, ever.
 
     A later submission of the same key may run; one that was made before
@@ -63,12 +64,12 @@
     return problems
 
 
-def whole_answers(world: world_module.World) -> list[str]:
+def whole_answers(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """P2: an answer is right and whole, or ends in a coded error."""
     problems = []
     for submission in world.submissions:
         call = submission.call
-        right = world_module.expected(call.body, call.streamed)
+        right = simulated_cluster.expected(call.body, call.streamed)
         got = submission.items
         if submission.whole and got != right:
             problems.append(f'{call.call_id} got {got!r}, not {right!r}')
@@ -79,7 +80,7 @@
     return problems
 
 
-def all_answered(world: world_module.World) -> list[str]:
+def all_answered(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """Every submission to a living entry has its final answer."""
     return [
         f'{s.call.call_id} at {s.entry} has no answer'
@@ -90,7 +91,9 @@
     ]
 
 
-def leaving_gets_no_work(world: world_module.World) -> list[str]:
+def leaving_gets_no_work(
+    world: simulated_cluster.SimulatedCluster,
+) -> list[str]:
     """P5: an agent that was told to leave starts nothing later."""
     problems = []
     for run in world.executions:
@@ -100,7 +103,7 @@
     return problems
 
 
-def check(world: world_module.World) -> list[str]:
+def check(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """Return everything that the history shows to be wrong."""
     return (
         at_most_once(world)
--- a/tests/lib/plays.py
+++ b/tests/lib/scripted_runs.py
@@ -1,15 +1,17 @@
 """Scripted runs for cases that random runs meet too seldom."""
 
-from tests.lib import group_world
-from tests.lib import world as world_module
+from tests.lib import simulated_cluster
+from tests.lib import simulated_group
 
 
-def rival_claims(seed: int) -> world_module.World:
+def rival_claims(seed: int) -> simulated_cluster.SimulatedCluster:
     """Two entries claim a key; the second before it can know of the first.
 
     The first claim is folded and acted on before the second lands.
     """
-    world = world_module.World(seed=seed, entries=2, endpoints=2)
+    world = simulated_cluster.SimulatedCluster(
+        seed=seed, entries=2, endpoints=2
+    )
     world.append_ms = 80.0
     world.submit('job', 'entry-0', key='sale', body=b'{"n": 1}')
     world.sim.run(60)
@@ -18,12 +20,14 @@
     return world
 
 
-def late_request(seed: int) -> world_module.World:
+def late_request(seed: int) -> simulated_cluster.SimulatedCluster:
     """A request reaches its entry after a later one was told "not run".
 
     The later submission's attempts are all refused by a full agent.
     """
-    world = world_module.World(seed=seed, entries=4, endpoints=1)
+    world = simulated_cluster.SimulatedCluster(
+        seed=seed, entries=4, endpoints=1
+    )
     world.endpoints['till-0'].service_ms = 1200.0
     world.submit('job', 'entry-0', key='sale', delay_ms=1700)
     for _ in range(20):
@@ -34,9 +38,9 @@
     return world
 
 
-def lost_rank(seed: int) -> group_world.GroupWorld:
+def lost_rank(seed: int) -> simulated_group.SimulatedGroup:
     """Only a rank that is then replaced is told of the next run."""
-    world = group_world.GroupWorld(seed=seed)
+    world = simulated_group.SimulatedGroup(seed=seed)
     world.put_plan(5)
     world.sim.run(500)
     world.deaf = {0, 1}
@@ -49,9 +53,11 @@
     return world
 
 
-def overtaken(seed: int) -> world_module.World:
+def overtaken(seed: int) -> simulated_cluster.SimulatedCluster:
     """A question about an attempt overtakes the attempt's own message."""
-    world = world_module.World(seed=seed, entries=1, endpoints=2)
+    world = simulated_cluster.SimulatedCluster(
+        seed=seed, entries=1, endpoints=2
+    )
     world.network.jitter_ms = 3000.0
     world.submit('job', 'entry-0', key='sale')
     world.sim.run(60)
@@ -61,9 +67,11 @@
     return world
 
 
-def forgetful(seed: int) -> world_module.World:
+def forgetful(seed: int) -> simulated_cluster.SimulatedCluster:
     """Both agents restart, without memory, while a job runs."""
-    world = world_module.World(seed=seed, entries=2, endpoints=2)
+    world = simulated_cluster.SimulatedCluster(
+        seed=seed, entries=2, endpoints=2
+    )
     for endpoint in world.endpoints.values():
         endpoint.service_ms = 500.0
     world.submit('job', 'entry-0', key='sale')
@@ -76,9 +84,11 @@
     return world
 
 
-def terminated_agent(seed: int) -> world_module.World:
+def terminated_agent(seed: int) -> simulated_cluster.SimulatedCluster:
     """An agent gets SIGTERM while it runs work, and more work comes."""
-    world = world_module.World(seed=seed, entries=1, endpoints=1)
+    world = simulated_cluster.SimulatedCluster(
+        seed=seed, entries=1, endpoints=1
+    )
     for endpoint in world.endpoints.values():
         endpoint.service_ms = 800.0
     world.submit('job', 'entry-0', key='sale')
@@ -93,9 +103,11 @@
     return world
 
 
-def terminated_entry(seed: int) -> world_module.World:
+def terminated_entry(seed: int) -> simulated_cluster.SimulatedCluster:
     """An entry gets SIGTERM while calls are in flight."""
-    world = world_module.World(seed=seed, entries=2, endpoints=1)
+    world = simulated_cluster.SimulatedCluster(
+        seed=seed, entries=2, endpoints=1
+    )
     for endpoint in world.endpoints.values():
         endpoint.service_ms = 800.0
     world.submit('job', 'entry-0', key='sale')
@@ -106,12 +118,12 @@
     return world
 
 
-def split_group(seed: int) -> group_world.GroupWorld:
+def split_group(seed: int) -> simulated_group.SimulatedGroup:
     """Two leaders in turn each reach all ranks but one, another each.
 
     The second one's host is new, so it knows nothing of the first one.
     """
-    world = group_world.GroupWorld(seed=seed)
+    world = simulated_group.SimulatedGroup(seed=seed)
     world.put_plan(5)
     world.sim.run(1000)
     world.cut = {2}
--- a/tests/lib/world.py
+++ b/tests/lib/simulated_cluster.py
@@ -85,7 +85,9 @@
     ``service_ms``: time to the first item.
     """
 
-    def __init__(self, *, world: 'World', name: str, zone: str) -> None:
+    def __init__(
+        self, *, world: 'SimulatedCluster', name: str, zone: str
+    ) -> None:
         super().__init__(sim=world.sim, name=name, zone=zone)
         self.world = world
         self.lose_answers = 0
@@ -151,7 +153,7 @@
     """One incarnation of an agent."""
 
     def __init__(
-        self, *, world: 'World', name: str, zone: str, number: int
+        self, *, world: 'SimulatedCluster', name: str, zone: str, number: int
     ) -> None:
         super().__init__(sim=world.sim, name=name, zone=zone)
         self.world = world
@@ -199,7 +201,7 @@
     def __init__(
         self,
         *,
-        world: 'World',
+        world: 'SimulatedCluster',
         entry_leg: int,
         entry: 'EntryNode',
         agent: AgentNode,
@@ -254,7 +256,12 @@
     """An entry's kernel and its I/O by the scripted network."""
 
     def __init__(
-        self, *, world: 'World', name: str, zone: str, claim_streams: int = 1
+        self,
+        *,
+        world: 'SimulatedCluster',
+        name: str,
+        zone: str,
+        claim_streams: int = 1,
     ) -> None:
         super().__init__(sim=world.sim, name=name, zone=zone)
         self.world = world
@@ -440,7 +447,7 @@
         agent.do(on_agent)
 
 
-class World:
+class SimulatedCluster:
     """Entries, agents, endpoints, the platform, and the history."""
 
     def __init__(
--- a/tests/lib/group_world.py
+++ b/tests/lib/simulated_group.py
@@ -73,7 +73,9 @@
 class AgentProcess(sim_module.Node):
     """One incarnation of a rank's agent, with the leader on rank 0."""
 
-    def __init__(self, *, world: 'GroupWorld', rank: int, number: int) -> None:
+    def __init__(
+        self, *, world: 'SimulatedGroup', rank: int, number: int
+    ) -> None:
         super().__init__(sim=world.sim, name=f'rank-{rank}', zone='zone-a')
         self.world = world
         self.rank = rank
@@ -154,7 +156,7 @@
         self.apply(result)
 
 
-class GroupWorld:
+class SimulatedGroup:
     """A group, its network, and the history of its steps."""
 
     def __init__(
@@ -257,7 +259,7 @@
             self.steps_done += 1
 
 
-def one_map_each_step(world: GroupWorld) -> list[str]:
+def one_map_each_step(world: SimulatedGroup) -> list[str]:
     """P1: over all ranks, a step is entered with one map version."""
     versions: dict[tuple[int, int], set[int]] = {}
     for entry in world.entered:
@@ -270,16 +272,16 @@
     ]
 
 
-class GroupChaos:
+class GroupChaosRun:
     """Random faults on a group; one seed is one run."""
 
     def __init__(self, *, seed: int, checks_fencing: bool = True) -> None:
-        self.world = GroupWorld(seed=seed, checks_fencing=checks_fencing)
+        self.world = SimulatedGroup(seed=seed, checks_fencing=checks_fencing)
         self.sim = self.world.sim
         self.rng = self.sim.rng
         self.faults_done = 0
 
-    def run(self) -> GroupWorld:
+    def run(self) -> SimulatedGroup:
         """Run to the end and return the world with its history."""
         world = self.world
         for number in range(self.rng.randint(1, 5)):
--- a/tests/lib/rank_world.py
+++ b/tests/lib/simulated_ranks.py
@@ -18,14 +18,14 @@
 from aspenfold._internal.kernel import clock
 
 MS = datetime.timedelta(milliseconds=1)
-STEP = 10 * MS
+TICK_INTERVAL = 10 * MS
 REPORT_LAG = 200 * MS
 COPY_TIME = 150 * MS
 FORM_TIME = 600 * MS
 TERM_TOKENS = 1_000_000
 
 
-class Violation(AssertionError):
+class MixedMapsError(AssertionError):
     """A pass began with two maps."""
 
 
@@ -67,7 +67,7 @@
     fresh: float = 0.5
 
 
-QUIET = Faults(
+NO_FAULTS = Faults(
     late=0,
     answer_lost=0,
     lost=0,
@@ -82,7 +82,7 @@
 class Leader:
     """Drives one switch as the gateway's group leader does."""
 
-    def __init__(self, world: 'World', term: int) -> None:
+    def __init__(self, world: 'SimulatedRanks', term: int) -> None:
         self.world = world
         self.token = term * TERM_TOKENS
         self.switch: map_switch.MapSwitch | None = None
@@ -173,7 +173,7 @@
             self.perform(machine.on_answer(order, answer, self.world.now))
 
 
-class World:
+class SimulatedRanks:
     """The group, its leaders, and the orders on their way."""
 
     def __init__(
@@ -207,7 +207,7 @@
         """Let the world go on."""
         end = self.now + duration
         while self.now < end:
-            self.now += STEP
+            self.now += TICK_INTERVAL
             while self._events and self._events[0][0] <= self.now:
                 heapq.heappop(self._events)[2]()
             self._strike()
@@ -223,7 +223,7 @@
         heapq.heappush(self._events, item)
 
     def _chance(self, rate: float) -> bool:
-        return self.rng.random() < rate * (STEP / (1000 * MS))
+        return self.rng.random() < rate * (TICK_INTERVAL / (1000 * MS))
 
     def _strike(self) -> None:
         faults = self.faults
@@ -271,7 +271,7 @@
                 rank.armed = None
         maps = {(rank.version, rank.map) for rank in self.ranks}
         if len(maps) > 1:
-            raise Violation(f'pass {begins} of {self.epoch}: {maps}')
+            raise MixedMapsError(f'pass {begins} of {self.epoch}: {maps}')
         wait = self.rng.randrange(30, 90) * MS
         if self.rng.random() < self.faults.idle / 20:
             wait = self.rng.randrange(500, 5000) * MS
--- a/tests/lib/steps.py
+++ b/tests/lib/steps.py
@@ -8,8 +8,8 @@
 from aspenfold_standins import sim as sim_module
 import pytest_bdd
 from pytest_bdd import parsers
-from tests.lib import history
-from tests.lib import world as world_module
+from tests.lib import history_checks
+from tests.lib import simulated_cluster
 
 given = pytest_bdd.given
 when = pytest_bdd.when
@@ -21,8 +21,8 @@
 class Scene:
     """A scenario's world, its requests by name, and its tickets."""
 
-    world: world_module.World
-    requests: dict[str, world_module.Submission] = dataclasses.field(
+    world: simulated_cluster.SimulatedCluster
+    requests: dict[str, simulated_cluster.Submission] = dataclasses.field(
         default_factory=dict
     )
     marks: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -42,7 +42,9 @@
     target_fixture='scene',
 )
 def _world(entries: int, endpoints: int) -> Scene:
-    world = world_module.World(seed=1, entries=entries, endpoints=endpoints)
+    world = simulated_cluster.SimulatedCluster(
+        seed=1, entries=entries, endpoints=endpoints
+    )
     return Scene(world=world)
 
 
@@ -181,7 +183,7 @@
 @when(parse('entry-{number:d} is started in {zone}'))
 def _start_entry(scene: Scene, number: int, zone: str) -> None:
     name = f'entry-{number}'
-    scene.world.entries[name] = world_module.EntryNode(
+    scene.world.entries[name] = simulated_cluster.EntryNode(
         world=scene.world, name=name, zone=zone
     )
 
@@ -257,4 +259,4 @@
 @then('the history is sound')
 def _sound(scene: Scene) -> None:
     scene.world.sim.run(10_000)
-    assert history.check(scene.world) == []
+    assert history_checks.check(scene.world) == []
--- a/tests/soak/group.py
+++ b/tests/soak/group.py
@@ -14,13 +14,13 @@
 from aspenfold_standins import platform_worker
 
 from aspenfold._internal.expertmaps import rank_protocol
-from tests.lib import rank_world
+from tests.lib import simulated_ranks
 
 EXPERTS = 8
 SHIFT_S = 1.5
 """How often other experts are in demand, so that maps change."""
 
-TICK_S = rank_world.STEP.total_seconds()
+TICK_S = simulated_ranks.TICK_INTERVAL.total_seconds()
 
 OPS = {
     'prepare': rank_protocol.Op.PREPARE,
@@ -36,7 +36,9 @@
     rank_protocol.Answer.FENCED: 412,
 }
 
-NO_LEADERS = dataclasses.replace(rank_world.QUIET, leader_start=0, idle=0.3)
+NO_LEADERS = dataclasses.replace(
+    simulated_ranks.NO_FAULTS, leader_start=0, idle=0.3
+)
 
 CALM = (0.0, 0.0)
 TROUBLED = (0.2, 0.1)
@@ -50,11 +52,11 @@
     """A group of ranks whose passes begin in real time."""
 
     def __init__(self, *, size: int, rng: random.Random) -> None:
-        self.world = rank_world.World(
+        self.world = simulated_ranks.SimulatedRanks(
             seed=rng.randrange(1 << 30), size=size, faults=NO_LEADERS
         )
         self.lost = CALM
-        self.violation: rank_world.Violation | None = None
+        self.violation: simulated_ranks.MixedMapsError | None = None
         self._rng = rng
         self._counts = [[0] * EXPERTS for _ in range(size)]
         self._late: set[asyncio.Task[None]] = set()
@@ -76,8 +78,8 @@
             try:
                 while done < loop.time():
                     done += TICK_S
-                    self.world.run(rank_world.STEP)
-            except rank_world.Violation as exc:
+                    self.world.run(simulated_ranks.TICK_INTERVAL)
+            except simulated_ranks.MixedMapsError as exc:
                 self.violation = exc
 
     def crash(self) -> None:
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -3,7 +3,7 @@
 import datetime
 
 from aspenfold_standins import sim as sim_module
-from tests.lib import group_world
+from tests.lib import simulated_group
 
 from aspenfold._internal.attempts import actions
 from aspenfold._internal.attempts import kernel as agent_kernel
@@ -14,7 +14,7 @@
 
 def test_group_machines_forget_finished_runs() -> None:
     """Leader and ranks keep only unfinished runs."""
-    world = group_world.GroupWorld(seed=1)
+    world = simulated_group.SimulatedGroup(seed=1)
     world.put_plan(5)
     world.sim.run(20_000)
     assert world.steps_done > 3000
--- a/tests/unit/test_guards.py
+++ b/tests/unit/test_guards.py
@@ -4,29 +4,31 @@
 
 import pytest
 from tests.lib import chaos
-from tests.lib import group_world
-from tests.lib import history
+from tests.lib import history_checks
 from tests.lib import mutations as m
-from tests.lib import plays
-from tests.lib import world as world_module
+from tests.lib import scripted_runs
+from tests.lib import simulated_cluster
+from tests.lib import simulated_group
 
 MAX_SEEDS = 25
 MORE_SEEDS = 400
-Check = abc.Callable[[world_module.World], list[str]]
-Run = abc.Callable[[int], world_module.World]
+Check = abc.Callable[[simulated_cluster.SimulatedCluster], list[str]]
+Run = abc.Callable[[int], simulated_cluster.SimulatedCluster]
 
 
-def random_calls(seed: int) -> world_module.World:
+def random_calls(seed: int) -> simulated_cluster.SimulatedCluster:
     """Run random calls under random faults."""
-    return chaos.Chaos(seed=seed).run()
+    return chaos.ChaosRun(seed=seed).run()
 
 
-def broken_answers(world: world_module.World) -> list[str]:
+def broken_answers(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """Check P2, and that every call is answered."""
-    return history.whole_answers(world) + history.all_answered(world)
+    return history_checks.whole_answers(world) + history_checks.all_answered(
+        world
+    )
 
 
-def incomplete_answers(world: world_module.World) -> list[str]:
+def incomplete_answers(world: simulated_cluster.SimulatedCluster) -> list[str]:
     """Check P6: calls in flight at SIGTERM are answered completely."""
     return [
         f'{s.call.call_id} got {s.outcome}'
@@ -49,24 +51,39 @@
     (m.no_end_check, broken_answers, random_calls, 11),
     (m.resume_from_start, broken_answers, random_calls, 17),
     (m.silent_end, broken_answers, random_calls, 0),
-    (m.no_seal, history.at_most_once, plays.overtaken, 0),
-    (m.ask_nobody, history.not_run_is_true, random_calls, 6),
-    (m.any_not_run, history.not_run_is_true, random_calls, 2),
-    (m.trust_followed, history.not_run_is_true, random_calls, 84),
-    (m.no_settled_position, history.not_run_is_true, plays.late_request, 0),
-    (m.claim_by_last_writer, history.at_most_once, plays.rival_claims, 17),
-    (m.no_claim, history.at_most_once, random_calls, 48),
-    (m.repeat_anything, history.at_most_once, random_calls, 1),
-    (m.forget_attempts, history.at_most_once, random_calls, 0),
+    (m.no_seal, history_checks.at_most_once, scripted_runs.overtaken, 0),
+    (m.ask_nobody, history_checks.not_run_is_true, random_calls, 6),
+    (m.any_not_run, history_checks.not_run_is_true, random_calls, 2),
+    (m.trust_followed, history_checks.not_run_is_true, random_calls, 84),
+    (
+        m.no_settled_position,
+        history_checks.not_run_is_true,
+        scripted_runs.late_request,
+        0,
+    ),
+    (
+        m.claim_by_last_writer,
+        history_checks.at_most_once,
+        scripted_runs.rival_claims,
+        17,
+    ),
+    (m.no_claim, history_checks.at_most_once, random_calls, 48),
+    (m.repeat_anything, history_checks.at_most_once, random_calls, 1),
+    (m.forget_attempts, history_checks.at_most_once, random_calls, 0),
     (
         m.ignore_leaving,
-        history.leaving_gets_no_work,
-        plays.terminated_agent,
+        history_checks.leaving_gets_no_work,
+        scripted_runs.terminated_agent,
+        0,
+    ),
+    (m.exit_at_once, incomplete_answers, scripted_runs.terminated_agent, 0),
+    (m.exit_at_once, incomplete_answers, scripted_runs.terminated_entry, 0),
+    (
+        m.any_incarnation,
+        history_checks.at_most_once,
+        scripted_runs.forgetful,
         0,
     ),
-    (m.exit_at_once, incomplete_answers, plays.terminated_agent, 0),
-    (m.exit_at_once, incomplete_answers, plays.terminated_entry, 0),
-    (m.any_incarnation, history.at_most_once, plays.forgetful, 0),
 ]
 
 
@@ -93,22 +110,22 @@
 @pytest.mark.parametrize(
     'run',
     [
-        plays.rival_claims,
-        plays.late_request,
-        plays.overtaken,
-        plays.forgetful,
-        plays.terminated_agent,
-        plays.terminated_entry,
+        scripted_runs.rival_claims,
+        scripted_runs.late_request,
+        scripted_runs.overtaken,
+        scripted_runs.forgetful,
+        scripted_runs.terminated_agent,
+        scripted_runs.terminated_entry,
     ],
 )
 def test_scripted_runs_pass_with_their_guards(run: Run) -> None:
     """With all guards the scripted runs pass every check."""
     for seed in range(MAX_SEEDS):
-        assert history.check(run(seed)) == [], seed
+        assert history_checks.check(run(seed)) == [], seed
 
 
 @pytest.mark.parametrize(
-    'run', [plays.terminated_agent, plays.terminated_entry]
+    'run', [scripted_runs.terminated_agent, scripted_runs.terminated_entry]
 )
 def test_shutdown_completes_calls_in_flight(run: Run) -> None:
     """P6 holds when the agent or the entry terminates."""
@@ -116,14 +133,14 @@
         assert incomplete_answers(run(seed)) == [], seed
 
 
-def random_group(seed: int) -> group_world.GroupWorld:
+def random_group(seed: int) -> simulated_group.SimulatedGroup:
     """Run a group under random faults."""
-    return group_world.GroupChaos(seed=seed, checks_fencing=False).run()
+    return simulated_group.GroupChaosRun(seed=seed, checks_fencing=False).run()
 
 
 GROUP_CASES = [
-    (m.begin_at_last, plays.lost_rank, 0),
-    (m.promise_of_some, plays.split_group, 0),
+    (m.begin_at_last, scripted_runs.lost_rank, 0),
+    (m.promise_of_some, scripted_runs.split_group, 0),
     (m.grant_at_once, random_group, 0),
 ]
 
@@ -135,26 +152,28 @@
 )
 def test_group_guard(
     mutation: m.Mutation,
-    run: abc.Callable[[int], group_world.GroupWorld],
+    run: abc.Callable[[int], simulated_group.SimulatedGroup],
     first: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Without the guard some run uses two maps in one step."""
     mutation(monkeypatch)
     for seed in seeds_from(first):
-        if group_world.one_map_each_step(run(seed)):
+        if simulated_group.one_map_each_step(run(seed)):
             return
     pytest.fail('no run failed the check without the guard')
 
 
-@pytest.mark.parametrize('run', [plays.lost_rank, plays.split_group])
+@pytest.mark.parametrize(
+    'run', [scripted_runs.lost_rank, scripted_runs.split_group]
+)
 def test_scripted_group_runs_pass_with_their_guards(
-    run: abc.Callable[[int], group_world.GroupWorld],
+    run: abc.Callable[[int], simulated_group.SimulatedGroup],
 ) -> None:
     """The scripted group runs use one map in each step, and progress."""
     for seed in range(MAX_SEEDS):
         world = run(seed)
-        assert group_world.one_map_each_step(world) == [], seed
+        assert simulated_group.one_map_each_step(world) == [], seed
         assert world.steps_done > 0, seed
 
 
@@ -163,6 +182,6 @@
 ) -> None:
     """Without the ballot check the group does not recover."""
     m.no_ballot_check(monkeypatch)
-    run = group_world.GroupChaos(seed=0, checks_fencing=False)
+    run = simulated_group.GroupChaosRun(seed=0, checks_fencing=False)
     run.run()
     assert not run.recovered
--- a/tests/unit/test_switch_histories.py
+++ b/tests/unit/test_switch_histories.py
@@ -7,7 +7,7 @@
 
 from aspenfold._internal.expertmaps import map_switch
 from aspenfold._internal.expertmaps import rank_protocol
-from tests.lib import rank_world
+from tests.lib import simulated_ranks
 
 pytestmark = pytest.mark.explores
 
@@ -17,9 +17,11 @@
 
 def run_with_faults(
     seed: int, switch_class: type[map_switch.MapSwitch] = map_switch.MapSwitch
-) -> rank_world.World:
+) -> simulated_ranks.SimulatedRanks:
     """Run a simulated group with random faults."""
-    world = rank_world.World(seed=seed, switch_class=switch_class)
+    world = simulated_ranks.SimulatedRanks(
+        seed=seed, switch_class=switch_class
+    )
     world.run(FAULTY_DURATION)
     return world
 
@@ -28,7 +30,7 @@
     """Faults must not mix maps in a pass, nor block later switches."""
     for seed in seeds:
         world = run_with_faults(seed)
-        world.faults = rank_world.QUIET
+        world.faults = simulated_ranks.NO_FAULTS
         world.run(QUIET_DURATION / 2)
         passes = world.passes
         switched = world.switched
@@ -108,6 +110,6 @@
     switch_class: type[map_switch.MapSwitch],
 ) -> None:
     """Without the guard some history must begin a pass with two maps."""
-    with pytest.raises(rank_world.Violation):
+    with pytest.raises(simulated_ranks.MixedMapsError):
         for seed in range(300):
             run_with_faults(seed, switch_class)
