--- a/bench/model.py
+++ b/bench/model.py
@@ -68,25 +68,27 @@
         )
         self._queue: list[tuple[int, int, frames.AttemptRequest]] = []
         self._order = itertools.count()
-        self._legs: dict[int, abc.Callable[[frames.Frame], None]] = {}
+        self._streams: dict[int, abc.Callable[[frames.Frame], None]] = {}
 
     def execute(
         self,
-        leg: int,
+        stream_id: int,
         request: frames.AttemptRequest,
         answer: abc.Callable[[frames.Frame], None],
     ) -> None:
         """Take an attempt; its frames go to ``answer``."""
-        self._legs[leg] = answer
-        self._apply(self.kernel.execute(leg, request, self.model.sim.now))
+        self._streams[stream_id] = answer
+        self._apply(
+            self.kernel.execute(stream_id, request, self.model.sim.now)
+        )
 
     def _apply(self, result: list[agent_actions.Action]) -> None:
         for action in result:
             match action:
-                case agent_actions.Send(stream_id=leg, frame=frame):
-                    self._legs[leg](frame)
-                case agent_actions.CloseAnswerStream(stream_id=leg):
-                    del self._legs[leg]
+                case agent_actions.Send(stream_id=stream_id, frame=frame):
+                    self._streams[stream_id](frame)
+                case agent_actions.CloseAnswerStream(stream_id=stream_id):
+                    del self._streams[stream_id]
                 case agent_actions.CallEndpoint(request=request):
                     urgency = URGENCY[request.priority]
                     entry = (urgency, next(self._order), request)
@@ -244,9 +246,10 @@
                 ),
             )
 
-        leg = self.attempts
+        stream_id = self.attempts
         self.sim.after(
-            NETWORK_MS, lambda: endpoint.execute(leg, action.request, answer)
+            NETWORK_MS,
+            lambda: endpoint.execute(stream_id, action.request, answer),
         )
 
     def _ended(self, call_id: str, failure: exceptions.Failure | None) -> None:
