--- a/src/aspenfold/_internal/commands/__init__.py
+++ b/src/aspenfold/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands: each parses, calls the core and returns an exit status."""
+"""Implementations of the command lines in :mod:`aspenfold.cli`."""
--- a/src/aspenfold/_internal/commands/apply.py
+++ b/src/aspenfold/_internal/commands/apply.py
@@ -1,4 +1,4 @@
-"""``aspenfold apply``: puts a whole fleet in force."""
+"""``aspenfold apply`` and ``diff``: replace the fleet configuration."""
 
 import datetime
 import sys
@@ -20,7 +20,10 @@
 
 
 def load_fleet(path: str) -> patch.Document:
-    """Read and validate a fleet file; return its canonical document."""
+    """Return the validated fleet document in the file at ``path``.
+
+    Raises ConfigError, naming the field, if it is unreadable or invalid.
+    """
     fleet = base.load_model(
         path, fleet_model.Fleet, code=exceptions.Code.CONFIG_INVALID
     )
@@ -28,7 +31,7 @@
 
 
 class ApplyCommand:
-    """Appends the change, then waits until it is in force everywhere."""
+    """Appends a fleet change and waits until all entries use it."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
@@ -42,54 +45,60 @@
         wait: datetime.timedelta,
         as_json: bool,
     ) -> exit_status.Exit:
-        """Apply the fleet file at ``path``."""
+        """Apply the fleet file at ``path``.
+
+        Raises ConfigError if the change is rejected, or if the version in
+        force is not ``base_version``.  Returns ``NOT_IN_FORCE`` if some
+        entries do not use the new version after ``wait``.
+        """
         document = load_fleet(path)
         state = self._client.state
         self._client.catch_up()
         state = self._client.state
         if base_version is not None and base_version != state.version:
-            self._conflict(base_version)
-        steps = patch.diff(state.document, document)
-        if not steps:
+            self._raise_conflict(base_version)
+        operations = patch.diff(state.document, document)
+        if not operations:
             output.print_rows(
                 [{'result': 'no change', 'version': state.version}],
                 as_json=as_json,
             )
             return exit_status.Exit.OK
-        version = self._append(document, steps, reason)
-        return self._wait(version, wait, as_json)
+        version = self._append(document, operations, reason)
+        return self._wait_until_in_force(version, wait, as_json)
 
     def _append(
         self,
         document: patch.Document,
-        steps: list[dict[str, typing.Any]],
+        operations: list[dict[str, typing.Any]],
         reason: str,
     ) -> int:
+        """Append the change and return its version."""
         base_version = self._client.state.version
         record = records.ConfigChange(
             **self._client.record_header(),
             base_version=base_version,
             digest=patch.digest(document),
-            patch=steps,
+            patch=operations,
             reason=reason,
         )
-        judged = self._client.append(record)
-        if judged.verdict is reducer.Verdict.ACCEPTED:
-            return judged.record.offset
-        if judged.verdict is reducer.Verdict.CONFLICT:
-            self._conflict(base_version)
+        applied = self._client.append(record)
+        if applied.verdict is reducer.Verdict.ACCEPTED:
+            return applied.record.offset
+        if applied.verdict is reducer.Verdict.CONFLICT:
+            self._raise_conflict(base_version)
         raise exceptions.ConfigError(
             exceptions.Failure(
                 code=exceptions.Code.CONFIG_DIGEST,
-                detail=f'the log judged the change {judged.verdict.value}',
-                remedy='check that all programs are of one version',
+                detail=f'the change was rejected: {applied.verdict.value}',
+                remedy='check that all programs have the same version',
             )
         )
 
-    def _conflict(self, base_version: int) -> typing.NoReturn:
-        """Raise the conflict with what others changed since the base."""
+    def _raise_conflict(self, base_version: int) -> typing.NoReturn:
+        """Raise ConfigError, listing the changes after ``base_version``."""
         client = self._client
-        lines = []
+        changes = []
         for record in client.read_records():
             body = record.body
             if body.get('type') != 'config':
@@ -97,74 +106,77 @@
             if record.offset <= base_version:
                 continue
             if record.offset <= client.state.version:
-                paths = ', '.join(s['path'] for s in body['patch'])
-                lines.append(
+                paths = ', '.join(
+                    operation['path'] for operation in body['patch']
+                )
+                changes.append(
                     f'version {record.offset} by {body["author"]}: {paths}'
                 )
         raise exceptions.ConfigError(
             exceptions.Failure(
                 code=exceptions.Code.CONFIG_CONFLICT,
                 detail=f'version {base_version} is no longer in force, '
-                f'version {client.state.version} is; ' + '; '.join(lines),
+                f'version {client.state.version} is; ' + '; '.join(changes),
                 field='base_version',
                 remedy='run "aspenfold diff" on your file, merge the '
                 'change, and apply again',
             )
         )
 
-    def _wait(
+    def _wait_until_in_force(
         self, version: int, wait: datetime.timedelta, as_json: bool
     ) -> exit_status.Exit:
         clock = self._client.clock
-        began = clock.now()
-        until = began + wait
+        started = clock.now()
+        deadline = started + wait
         while True:
-            rows = self._versions(version)
-            behind = [row for row in rows if not row['in force']]
-            if not behind or clock.now() >= until:
+            rows = self._entry_rows(version)
+            pending = [row for row in rows if not row['in force']]
+            if not pending or clock.now() >= deadline:
                 break
-            _progress(len(rows) - len(behind), len(rows))
+            _print_progress(len(rows) - len(pending), len(rows))
             time.sleep(POLL_INTERVAL.total_seconds())
         output.print_rows(rows, as_json=as_json)
-        if behind:
-            names = ', '.join(str(row['entry']) for row in behind)
+        if pending:
+            names = ', '.join(str(row['entry']) for row in pending)
             print(
-                f'accepted as version {version}, which will not revert, '
-                f'but not yet in force on: {names}',
+                f'version {version} is accepted and will not be reverted, '
+                f'but it is not yet in force on: {names}',
                 file=sys.stderr,
             )
             return exit_status.Exit.NOT_IN_FORCE
         return exit_status.Exit.OK
 
-    def _versions(self, version: int) -> list[dict[str, typing.Any]]:
+    def _entry_rows(self, version: int) -> list[dict[str, typing.Any]]:
+        """Return a row for each entry: does it use ``version`` yet?"""
         rows: list[dict[str, typing.Any]] = []
         for host in self._client.list_entries():
             status = self._client.fetch_status(host)
-            running = status['version'] if status else None
+            current = status['version'] if status else None
             rows.append(
                 {
                     'entry': host.name,
                     'availability_zone': host.availability_zone,
-                    'version': running,
-                    'in force': running is not None and running >= version,
+                    'version': current,
+                    'in force': current is not None and current >= version,
                 }
             )
         return rows
 
 
-def _progress(done: int, total: int) -> None:
+def _print_progress(done: int, total: int) -> None:
     if sys.stderr.isatty():
         print(f'in force on {done} of {total}', end='\r', file=sys.stderr)
 
 
 class DiffCommand:
-    """Shows what an apply would change."""
+    """Prints what applying a fleet file would change."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
 
     def run(self, path: str, *, as_json: bool) -> exit_status.Exit:
-        """Compare the fleet file at ``path`` with what is in force."""
+        """Compare the fleet file at ``path`` with the fleet in force."""
         document = load_fleet(path)
         self._client.catch_up()
         rows = fleet_diff.diff_rows(self._client.state.document, document)
--- a/src/aspenfold/_internal/commands/audit.py
+++ b/src/aspenfold/_internal/commands/audit.py
@@ -1,4 +1,4 @@
-"""``aspenfold audit`` and ``history``: who changed what, when."""
+"""``aspenfold audit`` and ``history``: list the fleet's changes."""
 
 import typing
 
@@ -8,10 +8,11 @@
 from aspenfold._internal.configuration import reader as reader_module
 
 MAX_PATHS = 4
+"""Paths of a configuration change that are printed."""
 
 
 class AuditCommand:
-    """Folds the stream from its oldest record and prints each verdict."""
+    """Lists the records of the fleet stream with their verdicts."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
@@ -25,7 +26,11 @@
         verdict: str,
         as_json: bool,
     ) -> exit_status.Exit:
-        """Print the records that pass the filters."""
+        """Print the records that match the filters.
+
+        ``since`` is an offset, ``author`` a part of the author's name.  An
+        empty filter matches all records.
+        """
         rows = [
             row
             for row in self.rows()
@@ -40,40 +45,41 @@
     def rows(self) -> list[dict[str, typing.Any]]:
         """Return one row for each record that the log still holds."""
         rows = []
-        reading = reader_module.FleetReader()
+        reader = reader_module.FleetReader()
         for page in self._client.read_pages():
             for record in page.records:
-                before = _before(reading, record.body)
+                before = _state_before(reader, record.body)
                 single = reader_module.Page(
                     records=[record],
                     first_offset=page.first_offset,
                     next_offset=page.next_offset,
                 )
-                for judged in reading.apply_page(single):
-                    rows.append(_row(judged, before))
+                for applied in reader.apply_page(single):
+                    rows.append(_row(applied, before))
         return rows
 
 
 def _row(
-    judged: reader_module.AppliedRecord, before: str
+    applied: reader_module.AppliedRecord, before: str
 ) -> dict[str, typing.Any]:
-    body = judged.record.body
+    body = applied.record.body
     return {
-        'offset': judged.record.offset,
+        'offset': applied.record.offset,
         'at': str(body.get('at', ''))[:23],
         'who': body.get('author', ''),
         'kind': body.get('type', ''),
-        'verdict': judged.verdict.value,
+        'verdict': applied.verdict.value,
         'from': before,
-        'to': _after(judged.record.offset, body),
+        'to': _state_after(applied.record.offset, body),
         'why': body.get('reason', ''),
     }
 
 
-def _before(
-    reading: reader_module.FleetReader, body: dict[str, typing.Any]
+def _state_before(
+    reader: reader_module.FleetReader, body: dict[str, typing.Any]
 ) -> str:
-    state = reading.state
+    """Describe what the record would change, as it is before it."""
+    state = reader.state
     match body.get('type'):
         case 'config':
             return f'version {body.get("base_version")}'
@@ -84,15 +90,16 @@
             member = state.members.get(body['endpoint'])
             return member.state if member else 'live'
         case 'map':
-            known = state.maps.get(body['group'])
-            return f'map {known.version}' if known else 'no map'
+            current = state.maps.get(body['group'])
+            return f'map {current.version}' if current else 'no map'
     return ''
 
 
-def _after(offset: int, body: dict[str, typing.Any]) -> str:
+def _state_after(offset: int, body: dict[str, typing.Any]) -> str:
+    """Describe what the record at ``offset`` sets."""
     match body.get('type'):
         case 'config':
-            return f'version {offset}: {_paths(body["patch"])}'
+            return f'version {offset}: {_format_paths(body["patch"])}'
         case 'lease':
             return f'{body["name"]}: {body["holder"]} ({offset})'
         case 'membership':
@@ -104,8 +111,8 @@
     return ''
 
 
-def _paths(steps: list[dict[str, typing.Any]]) -> str:
-    paths = [str(step['path']) for step in steps[:MAX_PATHS]]
-    if len(steps) > MAX_PATHS:
-        paths.append(f'and {len(steps) - MAX_PATHS} more')
+def _format_paths(operations: list[dict[str, typing.Any]]) -> str:
+    paths = [str(operation['path']) for operation in operations[:MAX_PATHS]]
+    if len(operations) > MAX_PATHS:
+        paths.append(f'and {len(operations) - MAX_PATHS} more')
     return ', '.join(paths)
--- a/src/aspenfold/_internal/commands/exit_status.py
+++ b/src/aspenfold/_internal/commands/exit_status.py
@@ -1,4 +1,4 @@
-"""Exit statuses of all programs, and the frame that gives them."""
+"""Exit statuses of all programs, and how commands end with them."""
 
 from collections import abc
 import enum
@@ -9,7 +9,7 @@
 
 
 class Exit(enum.IntEnum):
-    """Exit statuses."""
+    """Exit status of a program."""
 
     OK = 0
     FAILED = 1
@@ -28,17 +28,21 @@
     exceptions.Code.SETTINGS_INVALID: Exit.USAGE,
     exceptions.Code.CONFIG_INVALID: Exit.USAGE,
 }
+"""Exit status for each result code; ``FAILED`` for all others."""
 
 
-def run_and_exit(work: abc.Callable[[], Exit]) -> typing.NoReturn:
-    """Run a command and end the process with its status."""
-    sys.exit(run_command(work))
+def run_and_exit(command: abc.Callable[[], Exit]) -> typing.NoReturn:
+    """Run ``command`` and end the process with its exit status."""
+    sys.exit(run_command(command))
 
 
-def run_command(work: abc.Callable[[], Exit]) -> Exit:
-    """Run a command; errors become a line and an exit status."""
+def run_command(command: abc.Callable[[], Exit]) -> Exit:
+    """Run ``command`` and return its exit status.
+
+    Prints an AspenfoldError as one line and returns the status for it.
+    """
     try:
-        return work()
+        return command()
     except exceptions.AspenfoldError as exc:
         print(f'error: {exc}', file=sys.stderr)
         return STATUS_BY_CODE.get(exc.failure.code, Exit.FAILED)
--- a/src/aspenfold/_internal/commands/fleet_client.py
+++ b/src/aspenfold/_internal/commands/fleet_client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: settings, log, entries."""
+"""Client of the log, the host list and the entries, for operators."""
 
 from collections import abc
 import datetime
@@ -20,34 +20,44 @@
 from aspenfold._internal.network import log_client
 
 MAX_APPEND_ATTEMPTS = 3
-"""How often a record whose fate is unknown is appended again."""
+"""Limit on appending a record that is not found on the log."""
 
 RETRY_DELAY = datetime.timedelta(milliseconds=300)
-ID_BYTES = 12
+RECORD_ID_BYTES = 12
 
 
 class Log(typing.Protocol):
-    """The log service as the commands use it."""
+    """The platform's log service.
+
+    All methods raise LogUnavailable if the call fails.
+    """
 
     def append(self, stream: str, record: records.Record) -> int:
-        """Append; raises LogUnavailable, perhaps after it took effect."""
+        """Append ``record`` and return its offset.
+
+        After LogUnavailable the record may still be on the log.
+        """
 
     def read(self, stream: str, start: int) -> reader_module.Page:
-        """Read a page from ``start``; raises LogUnavailable."""
+        """Return a page of records from offset ``start``."""
 
     def read_all(self, stream: str) -> list[reader_module.Page]:
-        """Read all pages; raises LogUnavailable."""
+        """Return all records that are still held, in pages."""
 
 
 class HostSource(typing.Protocol):
-    """The host list as the commands use it."""
+    """Source of the platform's host list."""
 
     def read(self) -> hosts.HostList:
-        """Return the list as the platform shows it now."""
+        """Return the current list; raises AspenfoldError on failure."""
 
 
 class FleetClient:
-    """The platform's services as the operators' commands use them."""
+    """Reads and changes the fleet with an operator's settings.
+
+    Unless said otherwise, methods raise LogUnavailable or another
+    AspenfoldError if a service does not answer.
+    """
 
     def __init__(
         self,
@@ -67,7 +77,7 @@
 
     @classmethod
     def connect(cls, cfg: settings_module.OperatorSettings) -> 'FleetClient':
-        """Return the platform that ``cfg`` names."""
+        """Return a client of the services that ``cfg`` names."""
         return cls(
             cfg=cfg,
             clock=clock_module.SystemClock(),
@@ -79,70 +89,75 @@
 
     @property
     def state(self) -> state_module.FleetState:
-        """The fleet state as read so far."""
+        """The fleet state at the last offset that was read."""
         return self.reader.state
 
     @property
     def author(self) -> str:
-        """Who stands in the audit trail: operator and login name."""
+        """Author of new records: the operator and the login name."""
         return f'{self.cfg.operator}/{getpass.getuser()}'
 
     def record_header(self) -> dict[str, typing.Any]:
-        """Return the fields that every record of ours begins with."""
+        """Return the fields that all records have, with a new id."""
         return {
-            'id': secrets.token_hex(ID_BYTES),
+            'id': secrets.token_hex(RECORD_ID_BYTES),
             'author': self.author,
             'at': self.clock.now(),
         }
 
     def catch_up(self) -> list[reader_module.AppliedRecord]:
-        """Read the fleet stream to its end; return what was judged."""
-        judged = []
+        """Read the fleet stream to its end; return the applied records."""
+        applied = []
         while True:
             page = self._log.read(records.FLEET_STREAM, self.reader.position)
-            judged.extend(self.reader.apply_page(page))
+            applied.extend(self.reader.apply_page(page))
             if self.reader.position >= page.next_offset:
-                return judged
+                return applied
 
     def read_records(self) -> list[reader_module.LogRecord]:
-        """Return every record that the fleet stream still holds."""
+        """Return all records that the fleet stream still holds."""
         return [
             record for page in self.read_pages() for record in page.records
         ]
 
     def read_pages(self) -> list[reader_module.Page]:
-        """Return the fleet stream from its oldest record, in pages."""
+        """Return all records of the fleet stream, in pages."""
         return self._log.read_all(records.FLEET_STREAM)
 
     def append(self, record: records.Record) -> reader_module.AppliedRecord:
-        """Append a record and return how all readers judge it.
+        """Append ``record`` and return it with its verdict.
+
+        The response to an append can be lost after the record was stored,
+        so the record is looked up on the log.  If it is not found, it is
+        appended again.  This is safe: a second copy has no effect, its
+        verdict is a conflict or no change.
 
-        The answer of an append can be lost after it took effect, so its
-        fate is always learned by reading forward.  A record that is not
-        there is appended again: a second copy is judged a conflict or
-        no change, by the rules of the fold.
+        Raises ConfigError if it is unknown whether the record was stored.
         """
         for _ in range(MAX_APPEND_ATTEMPTS):
             try:
                 self._log.append(records.FLEET_STREAM, record)
-                judged = self._find(record.id)
+                applied = self._find(record.id)
             except exceptions.LogUnavailable:
                 self._sleep(RETRY_DELAY.total_seconds())
-                judged = self._find_if_up(record.id)
-            if judged is not None:
-                return judged
+                applied = self._find_if_available(record.id)
+            if applied is not None:
+                return applied
         raise exceptions.ConfigError(
             exceptions.Failure(
                 code=exceptions.Code.APPEND_UNKNOWN,
-                detail='the log service does not answer, so it is not '
-                'known whether the change was accepted',
-                remedy='run "aspenfold history" once the log is back, '
-                'before you apply again',
+                detail='the log service does not answer; it is unknown '
+                'whether the change was accepted',
+                remedy='run "aspenfold history" when the log is available '
+                'again, before you apply again',
             )
         )
 
     def list_endpoint_names(self) -> list[str]:
-        """Return the endpoints of the host list; none if it is down."""
+        """Return the sorted names of all endpoints.
+
+        Returns an empty list if the host list cannot be read.
+        """
         try:
             listing = self._hosts.read()
         except exceptions.AspenfoldError:
@@ -154,40 +169,44 @@
         )
 
     def list_entries(self) -> list[hosts.Host]:
-        """Return the entry hosts of the host list."""
+        """Return the hosts that run an entry."""
         listing = self._hosts.read()
         return [h for h in listing.hosts if h.role is hosts.Role.ENTRY]
 
     def fetch_status(self, host: hosts.Host) -> dict[str, typing.Any] | None:
-        """Return an entry's status, None if it does not answer."""
-        return self._call(host, 'GET', '/admin/status', None)
+        """Return an entry's status, or None if the request fails."""
+        return self._request_json(host, 'GET', '/admin/status', None)
 
     def fetch_explanation(
         self, host: hosts.Host, body: dict[str, str]
     ) -> dict[str, typing.Any] | None:
-        """Return where an entry would send such a request."""
-        return self._call(host, 'POST', '/admin/explain', body)
+        """Return how an entry would route a request.
+
+        ``body`` has the request's organisation, service and operation.
+        Returns None if the HTTP request fails.
+        """
+        return self._request_json(host, 'POST', '/admin/explain', body)
 
-    def _call(
+    def _request_json(
         self, host: hosts.Host, method: str, path: str, body: object
     ) -> dict[str, typing.Any] | None:
         pool = http.connection_pool(f'http://{host.address}:{host.port}')
-        bearer = f'Bearer {self.cfg.operator_key}'
+        authorization = f'Bearer {self.cfg.operator_key}'
         try:
-            answer: dict[str, typing.Any] = http.call_json(
+            response: dict[str, typing.Any] = http.call_json(
                 pool,
                 method,
                 path,
                 body=body,
-                headers={'Authorization': bearer},
+                headers={'Authorization': authorization},
             )
         except http.ServiceError:
             return None
         finally:
             pool.close()
-        return answer
+        return response
 
-    def _find_if_up(
+    def _find_if_available(
         self, record_id: str
     ) -> reader_module.AppliedRecord | None:
         try:
@@ -196,14 +215,15 @@
             return None
 
     def _find(self, record_id: str) -> reader_module.AppliedRecord | None:
-        found = [
-            judged
-            for judged in self.catch_up()
-            if judged.record.body.get('id') == record_id
+        """Find a record among the new ones; prefer an accepted copy."""
+        copies = [
+            applied
+            for applied in self.catch_up()
+            if applied.record.body.get('id') == record_id
         ]
         accepted = [
-            judged
-            for judged in found
-            if judged.verdict is reducer.Verdict.ACCEPTED
+            applied
+            for applied in copies
+            if applied.verdict is reducer.Verdict.ACCEPTED
         ]
-        return next(iter(accepted + found), None)
+        return next(iter(accepted + copies), None)
--- a/src/aspenfold/_internal/commands/fleet_diff.py
+++ b/src/aspenfold/_internal/commands/fleet_diff.py
@@ -1,4 +1,4 @@
-"""Describes the difference between two fleets for people."""
+"""Formats the difference between two fleet documents as rows."""
 
 import json
 import typing
@@ -6,24 +6,30 @@
 from aspenfold._internal.configuration import patch
 
 MAX_VALUE_LENGTH = 60
+"""Longer values are truncated, in characters."""
 
 
 def diff_rows(
     old: patch.Document, new: patch.Document
 ) -> list[dict[str, typing.Any]]:
-    """Return one row for each change: path, from, to."""
+    """Return a row for each change, with the old and the new value."""
     return [
         {
-            'change': step['op'],
-            'path': step['path'],
-            'from': _value(old, step['path']),
-            'to': _short(step['value']) if 'value' in step else None,
+            'change': operation['op'],
+            'path': operation['path'],
+            'from': _value_at(old, operation['path']),
+            'to': (
+                _format_value(operation['value'])
+                if 'value' in operation
+                else None
+            ),
         }
-        for step in patch.diff(old, new)
+        for operation in patch.diff(old, new)
     ]
 
 
-def _value(document: patch.Document, path: str) -> str | None:
+def _value_at(document: patch.Document, path: str) -> str | None:
+    """Return the value at a JSON pointer, or None if there is none."""
     value: typing.Any = document
     for part in path.lstrip('/').split('/'):
         try:
@@ -32,10 +38,10 @@
             )
         except (KeyError, IndexError, ValueError, TypeError):
             return None
-    return _short(value)
+    return _format_value(value)
 
 
-def _short(value: object) -> str:
+def _format_value(value: object) -> str:
     text = json.dumps(value)
     if len(text) <= MAX_VALUE_LENGTH:
         return text
--- a/src/aspenfold/_internal/commands/inspect.py
+++ b/src/aspenfold/_internal/commands/inspect.py
@@ -1,4 +1,4 @@
-"""``show``, ``status`` and ``explain``: what is in force, and why."""
+"""``aspenfold show``, ``status`` and ``explain``."""
 
 import typing
 
@@ -9,19 +9,19 @@
 
 
 class ShowCommand:
-    """Prints the fleet in force, or an earlier version."""
+    """Prints the fleet document in force."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
 
     def run(self) -> exit_status.Exit:
-        """Print the whole fleet document."""
+        """Print the document; raises ConfigError if there is none yet."""
         self._client.catch_up()
         if not self._client.state.version:
             raise exceptions.ConfigError(
                 exceptions.Failure(
                     code=exceptions.Code.NO_FLEET,
-                    detail='no fleet was applied yet',
+                    detail='no fleet has been applied yet',
                     remedy='run "aspenfold apply FLEET.json"',
                 )
             )
@@ -30,13 +30,13 @@
 
 
 class StatusCommand:
-    """One screen: versions, endpoints, leases, maps, what is stale."""
+    """Prints the entries, and the fleet as the most current one sees it."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
 
     def run(self, *, as_json: bool) -> exit_status.Exit:
-        """Ask every entry for its view."""
+        """Print the status; ``UNREACHABLE`` if an entry does not answer."""
         reports = {
             host.name: self._client.fetch_status(host)
             for host in self._client.list_entries()
@@ -50,19 +50,19 @@
         return exit_status.Exit.OK
 
 
-Report = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
 
-def _print_reports(reports: dict[str, Report | None]) -> None:
+def _print_reports(reports: dict[str, JsonObject | None]) -> None:
     print('ENTRIES')
     output.print_rows(
         [_entry_row(name, report) for name, report in reports.items()],
         as_json=False,
     )
-    answered = [report for report in reports.values() if report]
-    if not answered:
+    received = [report for report in reports.values() if report]
+    if not received:
         return
-    latest = max(answered, key=lambda report: report['next_offset'])
+    latest = max(received, key=lambda report: report['next_offset'])
     print(f'\nENDPOINTS (seen by {latest["entry"]})')
     output.print_rows(
         [_endpoint_row(e) for e in latest['endpoints']], as_json=False
@@ -75,7 +75,7 @@
     output.print_rows(maps, as_json=False)
 
 
-def _entry_row(name: str, report: Report | None) -> Report:
+def _entry_row(name: str, report: JsonObject | None) -> JsonObject:
     if report is None:
         return {
             'entry': name,
@@ -84,7 +84,7 @@
             'state': 'does not answer',
             'in flight': None,
         }
-    state = 'in force' if report['log_up'] else 'cut off from the log: stale'
+    state = 'in force' if report['log_up'] else 'stale: cannot reach the log'
     if report['draining']:
         state = 'draining'
     return {
@@ -96,10 +96,10 @@
     }
 
 
-def _endpoint_row(endpoint: Report) -> Report:
+def _endpoint_row(endpoint: JsonObject) -> JsonObject:
     state = 'leaving' if endpoint['leaving'] else 'live'
     if endpoint['stale']:
-        state += ', not heard from'
+        state += ', no recent report'
     return {
         'endpoint': endpoint['name'],
         'zone': endpoint['availability_zone'],
@@ -111,7 +111,7 @@
 
 
 class ExplainCommand:
-    """Asks an entry where a request would go, rule by rule."""
+    """Prints how an entry would route a request."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
@@ -125,10 +125,14 @@
         entry: str,
         as_json: bool,
     ) -> exit_status.Exit:
-        """Print the rules that were tried and the endpoints."""
+        """Print the rules that were tried and the endpoints.
+
+        Uses the first entry if ``entry`` is empty.  Raises ConfigError if
+        there is no entry of that name.
+        """
         hosts = self._client.list_entries()
-        chosen = [h for h in hosts if not entry or h.name == entry]
-        if not chosen:
+        candidates = [h for h in hosts if not entry or h.name == entry]
+        if not candidates:
             raise exceptions.ConfigError(
                 exceptions.Failure(
                     code=exceptions.Code.NOT_FOUND,
@@ -137,21 +141,24 @@
                     remedy=f'use one of {[h.name for h in hosts]}',
                 )
             )
-        answer = self._client.fetch_explanation(
-            chosen[0],
+        explanation = self._client.fetch_explanation(
+            candidates[0],
             {
                 'organisation': organisation,
                 'service': service,
                 'operation': operation,
             },
         )
-        if answer is None:
-            print(f'{chosen[0].name} does not answer')
+        if explanation is None:
+            print(f'{candidates[0].name} does not answer')
             return exit_status.Exit.UNREACHABLE
         if as_json:
-            output.print_json(answer)
+            output.print_json(explanation)
             return exit_status.Exit.OK
-        output.print_rows(answer['rules'], as_json=False)
-        print(f'\npriority: {answer["priority"]}; {answer["policies"]}\n')
-        output.print_rows(answer['endpoints'], as_json=False)
+        output.print_rows(explanation['rules'], as_json=False)
+        print(
+            f'\npriority: {explanation["priority"]}; '
+            f'{explanation["policies"]}\n'
+        )
+        output.print_rows(explanation['endpoints'], as_json=False)
         return exit_status.Exit.OK
--- a/src/aspenfold/_internal/commands/membership.py
+++ b/src/aspenfold/_internal/commands/membership.py
@@ -10,7 +10,7 @@
 
 
 class MembershipCommand:
-    """Records that an endpoint drains, or takes work again."""
+    """Changes the state of an endpoint to draining or live."""
 
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
@@ -23,9 +23,12 @@
         reason: str,
         as_json: bool,
     ) -> exit_status.Exit:
-        """Record the endpoint's new state."""
+        """Append the endpoint's new state to the log.
+
+        Raises ConfigError if there is no such endpoint to drain.
+        """
         if state == 'draining':
-            self._check(endpoint)
+            self._check_endpoint(endpoint)
         record = records.MembershipChange(
             **self._client.record_header(),
             endpoint=endpoint,
@@ -33,33 +36,33 @@
             reason=reason,
         )
         self._client.catch_up()
-        judged = self._client.append(record)
+        applied = self._client.append(record)
         output.print_rows(
             [
                 {
                     'endpoint': endpoint,
                     'state': state,
-                    'offset': judged.record.offset,
-                    'verdict': judged.verdict.value,
+                    'offset': applied.record.offset,
+                    'verdict': applied.verdict.value,
                 }
             ],
             as_json=as_json,
         )
         return exit_status.Exit.OK
 
-    def _check(self, endpoint: str) -> None:
-        """Refuse a name that the host list does not have.
+    def _check_endpoint(self, endpoint: str) -> None:
+        """Raise ConfigError if the host list lacks the endpoint.
 
-        While the host list is down a drain is not held up by it.
+        Skipped while the host list is down, so that draining still works.
         """
-        known = self._client.list_endpoint_names()
-        if not known or endpoint in known:
+        names = self._client.list_endpoint_names()
+        if not names or endpoint in names:
             return
         raise exceptions.ConfigError(
             exceptions.Failure(
                 code=exceptions.Code.NOT_FOUND,
                 detail=f'the host list has no endpoint {endpoint!r}',
                 field='endpoint',
-                remedy=f'use one of {known}',
+                remedy=f'use one of {names}',
             )
         )
--- a/src/aspenfold/_internal/commands/output.py
+++ b/src/aspenfold/_internal/commands/output.py
@@ -1,14 +1,15 @@
-"""Prints results as a table for people or as JSON for programs."""
+"""Prints results as a table or as JSON."""
 
 from collections import abc
 import json
 import typing
 
 Row = abc.Mapping[str, typing.Any]
+"""A line of a table: a value for each column name."""
 
 
 def print_rows(rows: abc.Sequence[Row], *, as_json: bool) -> None:
-    """Print ``rows``, which share their keys."""
+    """Print ``rows``; a table has the columns of the first row."""
     if as_json:
         print(json.dumps(list(rows), indent=2))
         return
@@ -16,7 +17,7 @@
         print('(nothing)')
         return
     columns = list(rows[0])
-    cells = [[_text(row.get(column)) for column in columns] for row in rows]
+    cells = [[_format(row.get(column)) for column in columns] for row in rows]
     widths = [
         max(len(column), *(len(line[i]) for line in cells))
         for i, column in enumerate(columns)
@@ -27,11 +28,11 @@
 
 
 def print_json(value: object) -> None:
-    """Print one JSON document."""
+    """Print ``value`` as an indented JSON document."""
     print(json.dumps(value, indent=2))
 
 
-def _text(value: object) -> str:
+def _format(value: object) -> str:
     if value is None:
         return '-'
     if isinstance(value, bool):
--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -1,7 +1,7 @@
-"""``aspenfold-plan``: operators' plans in the platform's store.
+"""``aspenfold-plan``: checks plans and shows those in the store.
 
-Nothing here writes: operators publish plans by the platform's own means.
-Keys are counted, never printed.
+Never writes to the store: operators publish plans with the platform's own
+tools.  Never prints the organisations' keys.
 """
 
 from collections import abc
@@ -22,92 +22,99 @@
 Plan = plan_module.Plan
 
 Row = dict[str, object]
+"""A line of a table: a value for each column name."""
 
 NO_WAIT = datetime.timedelta(0)
 
 MAX_READ_ATTEMPTS = 3
-"""Reads of a history that is trimmed meanwhile."""
+"""Limit on reading a history that is trimmed while it is read."""
 
 
 def load_plan(
     path: str, decode: abc.Callable[[bytes], plan_module.Plan]
 ) -> Plan:
-    """Read a plan from a file, or raise a coded error."""
+    """Return the plan in a file.
+
+    Raises ConfigError if the file is unreadable or no valid plan.
+    """
     try:
         return decode(pathlib.Path(path).read_bytes())
     except OSError as exc:
-        raise _invalid(f'cannot read {path}: {exc.strerror}') from exc
+        raise _invalid_plan_file(
+            f'cannot read {path}: {exc.strerror}'
+        ) from exc
     except ValueError as exc:
-        raise _invalid(f'{path} is not a plan: {exc}') from exc
+        raise _invalid_plan_file(f'{path} is not a valid plan: {exc}') from exc
 
 
-def _invalid(detail: str) -> exceptions.ConfigError:
+def _invalid_plan_file(detail: str) -> exceptions.ConfigError:
     return exceptions.ConfigError(
         exceptions.Failure(
             code=exceptions.Code.CONFIG_INVALID,
             detail=detail,
             field='plan_file',
-            remedy='give a file with one plan, as it stands in the store',
+            remedy='use a file with one plan, encoded as in the store',
         )
     )
 
 
-# -- validate ----------------------------------------------------------------
-
-
 def find_errors(plan: Plan) -> list[Row]:
-    """Return what is wrong across fields, all of it at once."""
-    found: list[Row] = []
+    """Return a row for each error that decoding a plan cannot detect.
+
+    These are duplicates, references to missing services, and values that
+    contradict each other.
+    """
+    errors: list[Row] = []
     seen: set[tuple[str, str]] = set()
     for route in plan.routes:
         where = f'route {route.host}{route.path_prefix}'
         if (route.host, route.path_prefix) in seen:
-            found.append(_mistake(where, 'stands twice'))
+            errors.append(_error_row(where, 'is defined more than once'))
         seen.add((route.host, route.path_prefix))
-        found += _route_mistakes(where, route, plan)
-    holders: dict[str, str] = {}
+        errors += _route_errors(where, route, plan)
+    name_by_key: dict[str, str] = {}
     for organisation in plan.organisations:
         for key in organisation.keys:
-            other = holders.setdefault(key, organisation.name)
-            if other != organisation.name:
+            first = name_by_key.setdefault(key, organisation.name)
+            if first != organisation.name:
                 where = f'organisation {organisation.name}'
-                found.append(_mistake(where, f'shares a key with {other}'))
-    return found
+                errors.append(_error_row(where, f'shares a key with {first}'))
+    return errors
 
 
-def _route_mistakes(
+def _route_errors(
     where: str, route: plan_module.Route, plan: Plan
 ) -> abc.Iterator[Row]:
     prefix = route.path_prefix
     if not (prefix.startswith('/') and prefix.endswith('/')):
-        yield _mistake(where, 'its prefix does not begin and end with /')
+        yield _error_row(where, 'its prefix does not begin and end with /')
     for target in route.targets:
         if target.service not in plan.services:
-            yield _mistake(where, f'no service is named {target.service!r}')
+            yield _error_row(where, f'no service is named {target.service!r}')
     if not any(target.weight for target in route.targets):
-        yield _mistake(where, 'all its weights are 0')
+        yield _error_row(where, 'all its weights are 0')
     if route.objective > route.timeout:
-        yield _mistake(where, 'its objective is longer than its timeout')
+        yield _error_row(where, 'its objective is longer than its timeout')
 
 
-def _mistake(where: str, what: str) -> Row:
-    return {'where': where, 'mistake': what}
+def _error_row(where: str, message: str) -> Row:
+    return {'where': where, 'mistake': message}
 
 
 class ValidateCommand:
-    """Checks a plan's fields, and what they say of each other."""
+    """Checks a plan for errors across its fields."""
 
     def run(self, plan: Plan, *, as_json: bool) -> exit_status.Exit:
-        """Print all mistakes, or what the plan holds."""
-        found = find_errors(plan)
-        if found:
-            output.print_rows(found, as_json=as_json)
+        """Print all errors, or a summary if there are none."""
+        errors = find_errors(plan)
+        if errors:
+            output.print_rows(errors, as_json=as_json)
             return exit_status.Exit.USAGE
-        output.print_rows([_summary(plan)], as_json=as_json)
+        output.print_rows([_summary_row(plan)], as_json=as_json)
         return exit_status.Exit.OK
 
 
-def _summary(plan: Plan) -> Row:
+def _summary_row(plan: Plan) -> Row:
     return {
         'version': plan.version,
         'routes': len(plan.routes),
@@ -117,17 +124,17 @@
     }
 
 
-# -- explain -----------------------------------------------------------------
-
-
 class ExplainCommand:
-    """Says which route a request takes, and why."""
+    """Shows which route a request takes."""
 
     def run(
         self, plan: Plan, host: str, path: str, *, as_json: bool
     ) -> exit_status.Exit:
-        """Print the routes of the host that match, the one used first."""
-        chosen = plan_index.PlanIndex(plan=plan).find_route(host, path)
+        """Print the matching routes, the longest prefix first.
+
+        Returns ``FAILED`` if no route matches.
+        """
+        used = plan_index.PlanIndex(plan=plan).find_route(host, path)
         matching = [
             route
             for route in plan.routes
@@ -135,19 +142,19 @@
             and path.startswith(route.path_prefix)
         ]
         matching.sort(key=lambda r: len(r.path_prefix), reverse=True)
-        rows = [_route_row(route, route is chosen) for route in matching]
+        rows = [_route_row(route, route is used) for route in matching]
         output.print_rows(rows, as_json=as_json)
         return (
             exit_status.Exit.OK
-            if chosen is not None
+            if used is not None
             else exit_status.Exit.FAILED
         )
 
 
-def _route_row(route: plan_module.Route, used: bool) -> Row:
+def _route_row(route: plan_module.Route, is_used: bool) -> Row:
     targets = [f'{t.service}:{t.weight}' for t in route.targets]
     return {
-        'used': used,
+        'used': is_used,
         'prefix': route.path_prefix,
         'kind': route.kind.value,
         'services': ' '.join(targets),
@@ -159,19 +166,20 @@
     }
 
 
-# -- audit -------------------------------------------------------------------
-
-
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoredPlan:
-    """A plan, and the offset of its record."""
+    """A plan in the store; ``offset`` is that of its record."""
 
     offset: int
     plan: Plan
 
 
 async def read_history(platform: ports.Platform) -> list[StoredPlan]:
-    """Return all plans that the store still has, oldest first."""
+    """Return all plans that the store still has, oldest first.
+
+    Returns only the newest plan if the history is repeatedly trimmed while
+    it is read.
+    """
     start = 0
     for _ in range(MAX_READ_ATTEMPTS):
         try:
@@ -179,20 +187,20 @@
         except ports.HistoryTrimmed as exc:
             start = exc.first
     page = await platform.store.newest(platform.plan_topic)
-    return list(_versions(platform, page))
+    return list(_decode_plans(platform, page))
 
 
 async def _read_from(platform: ports.Platform, start: int) -> list[StoredPlan]:
-    found: list[StoredPlan] = []
+    plans: list[StoredPlan] = []
     while True:
         page = await platform.store.read(platform.plan_topic, start, NO_WAIT)
         if not page.records:
-            return found
-        found += _versions(platform, page)
+            return plans
+        plans += _decode_plans(platform, page)
         start = page.records[-1].offset + 1
 
 
-def _versions(
+def _decode_plans(
     platform: ports.Platform, page: ports.Page
 ) -> abc.Iterator[StoredPlan]:
     for record in page.records:
@@ -202,34 +210,36 @@
 
 
 def describe_changes(old: Plan, new: Plan) -> list[str]:
-    """Return what differs between two plans, a line each."""
-    found = _named_changes(
+    """Return a line for each difference between two plans."""
+    lines = _entry_changes(
         'route',
         {f'{r.host}{r.path_prefix}': r for r in old.routes},
         {f'{r.host}{r.path_prefix}': r for r in new.routes},
     )
-    found += _named_changes('service', old.services, new.services)
-    found += _key_changes(old, new)
+    lines += _entry_changes('service', old.services, new.services)
+    lines += _key_changes(old, new)
     if old.limits != new.limits:
-        found.append(f'limits changed: {_differing(old.limits, new.limits)}')
-    return found
+        lines.append(
+            f'limits changed: {_field_changes(old.limits, new.limits)}'
+        )
+    return lines
 
 
-def _named_changes(
-    what: str, old: abc.Mapping[str, object], new: abc.Mapping[str, object]
+def _entry_changes(
+    kind: str, old: abc.Mapping[str, object], new: abc.Mapping[str, object]
 ) -> list[str]:
-    found = [f'{what} {name} added' for name in new if name not in old]
-    found += [f'{what} {name} removed' for name in old if name not in new]
+    lines = [f'{kind} {name} added' for name in new if name not in old]
+    lines += [f'{kind} {name} removed' for name in old if name not in new]
     for name, value in new.items():
         if name in old and old[name] != value:
-            found.append(
-                f'{what} {name} changed: {_differing(old[name], value)}'
+            lines.append(
+                f'{kind} {name} changed: {_field_changes(old[name], value)}'
             )
-    return found
+    return lines
 
 
-def _differing(old: typing.Any, new: typing.Any) -> str:
-    """Return the fields of two equal data classes that differ."""
+def _field_changes(old: typing.Any, new: typing.Any) -> str:
+    """Format the fields that differ in two objects of one data class."""
     return ', '.join(
         f'{field.name} {getattr(old, field.name)}'
         f' to {getattr(new, field.name)}'
@@ -241,97 +251,94 @@
 def _key_changes(old: Plan, new: Plan) -> list[str]:
     before = {o.name: set(o.keys) for o in old.organisations}
     after = {o.name: set(o.keys) for o in new.organisations}
-    found = []
+    lines = []
     for name in sorted(before.keys() | after.keys()):
         added = len(after.get(name, set()) - before.get(name, set()))
-        taken = len(before.get(name, set()) - after.get(name, set()))
-        if added or taken:
-            found.append(
-                f'organisation {name}: {added} keys added, {taken} taken'
+        removed = len(before.get(name, set()) - after.get(name, set()))
+        if added or removed:
+            lines.append(
+                f'organisation {name}: {added} keys added, {removed} removed'
             )
-    return found
+    return lines
 
 
 class AuditCommand:
-    """Says what each accepted plan changed."""
+    """Shows what each plan changed against the one before."""
 
     def run(
-        self, versions: abc.Sequence[StoredPlan], *, as_json: bool
+        self, plans: abc.Sequence[StoredPlan], *, as_json: bool
     ) -> exit_status.Exit:
-        """Print a row for each change, the oldest kept plan first."""
+        """Print a row for each change in ``plans``, oldest first."""
         rows: list[Row] = []
         before: Plan | None = None
-        for version in versions:
+        for stored in plans:
             lines = ['the oldest plan that the store has']
             if before is not None:
-                lines = describe_changes(before, version.plan) or ['nothing']
+                lines = describe_changes(before, stored.plan) or ['nothing']
             rows += [
                 {
-                    'offset': version.offset,
-                    'version': version.plan.version,
+                    'offset': stored.offset,
+                    'version': stored.plan.version,
                     'change': line,
                 }
                 for line in lines
             ]
-            before = version.plan
+            before = stored.plan
         output.print_rows(rows, as_json=as_json)
         return exit_status.Exit.OK
 
 
-# -- status ------------------------------------------------------------------
-
-
 async def read_status(platform: ports.Platform) -> dict[str, list[Row]]:
-    """Return what the store has: plan, endpoints, gateways, lease."""
+    """Return the newest plan, endpoints, gateways and leases."""
     store = platform.store
     plans = await store.newest(platform.plan_topic)
     listings = await store.newest(platform.endpoint_topic)
-    hosts = await store.newest(peer_discovery.TOPIC)
-    lease = await store.newest(leadership.LEASE_TOPIC)
+    gateways = await store.newest(peer_discovery.TOPIC)
+    leases = await store.newest(leadership.LEASE_TOPIC)
     return {
         'plan': [
-            {'offset': v.offset, **_summary(v.plan)}
-            for v in _versions(platform, plans)
+            {'offset': v.offset, **_summary_row(v.plan)}
+            for v in _decode_plans(platform, plans)
         ],
         'endpoints': [
             _endpoint_row(platform, record)
             for record in listings.records
             if record.value
         ],
-        'gateways': [_text_row('gateway', r) for r in hosts.records],
-        'leases': [_text_row('lease', r) for r in lease.records],
+        'gateways': [_text_row('gateway', r) for r in gateways.records],
+        'leases': [_text_row('lease', r) for r in leases.records],
     }
 
 
 def _endpoint_row(platform: ports.Platform, record: ports.Record) -> Row:
-    found = platform.decode_listing(record.key, record.value or b'')
+    listing = platform.decode_listing(record.key, record.value or b'')
     return {
-        'endpoint': found.name,
-        'service': found.service,
-        'zone': found.zone,
-        'address': f'{found.host}:{found.port}',
-        'capacity': found.capacity,
-        'state': 'leaving' if found.draining else 'live',
+        'endpoint': listing.name,
+        'service': listing.service,
+        'zone': listing.zone,
+        'address': f'{listing.host}:{listing.port}',
+        'capacity': listing.capacity,
+        'state': 'leaving' if listing.draining else 'live',
         'offset': record.offset,
     }
 
 
-def _text_row(what: str, record: ports.Record) -> Row:
+def _text_row(column: str, record: ports.Record) -> Row:
     value = (record.value or b'').decode('utf-8', 'replace')
-    return {what: record.key, 'value': value, 'offset': record.offset}
+    return {column: record.key, 'value': value, 'offset': record.offset}
 
 
 class StatusCommand:
-    """One screen: what the store has."""
+    """Prints what the store has."""
 
     def run(
-        self, parts: dict[str, list[Row]], *, as_json: bool
+        self, sections: dict[str, list[Row]], *, as_json: bool
     ) -> exit_status.Exit:
-        """Print each part."""
+        """Print each section under its name."""
         if as_json:
-            output.print_json(parts)
+            output.print_json(sections)
             return exit_status.Exit.OK
-        for name, rows in parts.items():
+        for name, rows in sections.items():
             print(name.upper())
             output.print_rows(rows, as_json=False)
             print()
--- a/src/aspenfold/_internal/commands/serve.py
+++ b/src/aspenfold/_internal/commands/serve.py
@@ -1,4 +1,4 @@
-"""Starts a server program from its settings file."""
+"""Command line of the server programs."""
 
 from collections import abc
 import typing
@@ -13,15 +13,18 @@
 
 
 def main(program: str, cls: type[S], run: abc.Callable[[S], None]) -> None:
-    """Read the settings that the command line names, and serve."""
+    """Load the settings file named by the command line and call ``run``.
+
+    ``cls`` is the model of the settings.
+    """
 
     def command(settings: str) -> None:
-        """Serve with the JSON file SETTINGS until SIGTERM."""
+        """Run the server with the JSON file SETTINGS until SIGTERM."""
 
-        def work() -> exit_status.Exit:
+        def serve() -> exit_status.Exit:
             run(settings_module.load(settings, cls))
             return exit_status.Exit.OK
 
-        exit_status.run_and_exit(work)
+        exit_status.run_and_exit(serve)
 
     fire.Fire(command, name=program)
--- a/src/aspenfold/_internal/commands/trace.py
+++ b/src/aspenfold/_internal/commands/trace.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request from the logs of several processes."""
+"""``aspenfold trace``: one request in the logs of several processes."""
 
 from collections import abc
 import dataclasses
@@ -14,21 +14,24 @@
 HIDDEN_FIELDS = frozenset(
     {'event', 'call', 'timestamp', 'task_uuid', 'task_level', 'message_type'}
 )
-"""Fields that have a column of their own, or that only eliot needs."""
+"""Log fields that are not printed in the column of details."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """One log line; ``source`` is what stood before its JSON object."""
+    """A parsed log line.
+
+    ``source`` is the text before the JSON object, or the file's name.
+    """
 
     source: str
     fields: dict[str, typing.Any]
 
 
 def parse_line(text: str, file_name: str) -> LogLine | None:
-    """Return the line's fields, None if it is not one of ours.
+    """Parse a log line; return None if it is not an aspenfold event.
 
-    Collectors put the time and the host's name before the object.
+    Log collectors may prefix the JSON object, such as with a host's name.
     """
     start = text.find('{')
     if start < 0:
@@ -43,7 +46,10 @@
 
 
 def read_logs(paths: abc.Iterable[str]) -> list[LogLine]:
-    """Read all files, or raise a coded error that names the file."""
+    """Return the events in all files.
+
+    Raises ConfigError, naming the file, if one cannot be read.
+    """
     lines: list[LogLine] = []
     for path in paths:
         try:
@@ -54,24 +60,24 @@
                     code=exceptions.Code.NOT_FOUND,
                     detail=f'cannot read {path}: {exc.strerror}',
                     field='log_files',
-                    remedy='name files that hold log lines',
+                    remedy='use the paths of readable log files',
                 )
             ) from exc
-        found = (parse_line(line, path) for line in text.splitlines())
-        lines += [line for line in found if line is not None]
+        parsed = (parse_line(line, path) for line in text.splitlines())
+        lines += [line for line in parsed if line is not None]
     return lines
 
 
 def request_lines(
     lines: abc.Iterable[LogLine], request_id: str
 ) -> list[LogLine]:
-    """Return the request's lines in the order of their times."""
-    found = [x for x in lines if x.fields.get('call') == request_id]
-    return sorted(found, key=lambda x: float(x.fields.get('timestamp', 0)))
+    """Return the lines of one request, sorted by timestamp."""
+    matching = [x for x in lines if x.fields.get('call') == request_id]
+    return sorted(matching, key=lambda x: float(x.fields.get('timestamp', 0)))
 
 
-def count_omitted_lines(lines: abc.Iterable[LogLine]) -> dict[str, int]:
-    """Return how many lines were left out, by event, over all files."""
+def count_dropped_lines(lines: abc.Iterable[LogLine]) -> dict[str, int]:
+    """Return how many lines the processes dropped, by event name."""
     total: dict[str, int] = {}
     for line in lines:
         for kind, count in line.fields.get('left_out', {}).items():
@@ -80,25 +86,25 @@
 
 
 class TraceCommand:
-    """``aspenfold trace``."""
+    """Prints the log lines of one request."""
 
     def run(
         self, request_id: str, paths: abc.Sequence[str], *, as_json: bool
     ) -> exit_status.Exit:
-        """Print the request's story; failed if no line names it."""
+        """Print the request's lines; ``FAILED`` if there are none."""
         lines = read_logs(paths)
-        found = request_lines(lines, request_id)
-        output.print_rows([_row(line) for line in found], as_json=as_json)
-        for kind, count in sorted(count_omitted_lines(lines).items()):
-            print(f'note: {count} lines of {kind} were left out under load')
-        return exit_status.Exit.OK if found else exit_status.Exit.FAILED
+        matching = request_lines(lines, request_id)
+        output.print_rows([_row(line) for line in matching], as_json=as_json)
+        for kind, count in sorted(count_dropped_lines(lines).items()):
+            print(f'note: {count} lines of {kind} were dropped under load')
+        return exit_status.Exit.OK if matching else exit_status.Exit.FAILED
 
 
 def _row(line: LogLine) -> dict[str, object]:
     fields = line.fields
     number = int(fields['event'])
-    known = number in events.Event.__members__.values()
-    name = events.Event(number).name if known else str(number)
+    is_known = number in events.Event.__members__.values()
+    name = events.Event(number).name if is_known else str(number)
     details = ' '.join(
         f'{key}={value}'
         for key, value in fields.items()
--- a/src/aspenfold/cli/__init__.py
+++ b/src/aspenfold/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs' command lines; all that they do is in ``_internal``."""
+"""Entry points of the programs; see :mod:`aspenfold._internal.commands`."""
--- a/src/aspenfold/cli/agent.py
+++ b/src/aspenfold/cli/agent.py
@@ -1,4 +1,4 @@
-"""``aspenfold-agent SETTINGS``: stands beside one endpoint."""
+"""``aspenfold-agent SETTINGS``: runs on the host of an endpoint."""
 
 from aspenfold._internal.commands import serve
 from aspenfold._internal.models import settings
@@ -6,5 +6,5 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the program."""
     serve.main('aspenfold-agent', settings.AgentSettings, agent.run)
--- a/src/aspenfold/cli/entry.py
+++ b/src/aspenfold/cli/entry.py
@@ -1,4 +1,4 @@
-"""``aspenfold-entry SETTINGS``: serves callers on an entry host."""
+"""``aspenfold-entry SETTINGS``: routes callers' requests on an entry host."""
 
 from aspenfold._internal.commands import serve
 from aspenfold._internal.models import settings
@@ -6,5 +6,5 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the program."""
     serve.main('aspenfold-entry', settings.EntrySettings, entry.run)
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -1,4 +1,4 @@
-"""``aspenfold-gateway``: serves callers on a host of the platform."""
+"""``aspenfold-gateway``: routes requests on a host of the platform."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Serve by the settings file that the environment names."""
+    """Serve with the settings file that the environment names."""
     exit_status.run_and_exit(_serve)
 
 
--- a/src/aspenfold/cli/operator.py
+++ b/src/aspenfold/cli/operator.py
@@ -23,12 +23,12 @@
 class OperatorCommands:
     """Operate a fleet: validate, diff, apply, inspect, drain.
 
-    Every command takes --json where it prints a table.  The platform's
-    addresses come from the JSON file that --settings or the variable
-    ASPENFOLD_SETTINGS names.
+    Commands that print a table print JSON with --json.  The addresses of
+    the platform's services come from a JSON settings file, named by
+    --settings or the environment variable ASPENFOLD_SETTINGS.
 
-    Exit statuses: 0 done, 1 failed, 2 bad input, 3 conflict, 4 not yet
-    in force everywhere, 5 something does not answer.
+    Exit statuses: 0 success, 1 failure, 2 invalid input, 3 conflict,
+    4 not yet in force everywhere, 5 a service or entry does not answer.
     """
 
     def __init__(self, settings: str = '') -> None:
@@ -37,19 +37,19 @@
     def validate(self, fleet_file: str) -> None:
         """Check a fleet file.  Example: aspenfold validate fleet.json"""
 
-        def work() -> exit_status.Exit:
+        def check() -> exit_status.Exit:
             apply_module.load_fleet(fleet_file)
             print(f'{fleet_file} is a valid fleet')
             return exit_status.Exit.OK
 
-        exit_status.run_and_exit(work)
+        exit_status.run_and_exit(check)
 
     def schema(self) -> None:
         """Print the JSON Schema of the fleet file."""
         output.print_json(fleet.Fleet.model_json_schema())
 
     def diff(self, fleet_file: str, json: bool = False) -> None:
-        """Show what an apply would change."""
+        """Show what applying a fleet file would change."""
         exit_status.run_and_exit(
             lambda: apply_module.DiffCommand(client=self._fleet_client()).run(
                 fleet_file, as_json=json
@@ -64,7 +64,10 @@
         wait: float = 10.0,
         json: bool = False,
     ) -> None:
-        """Put a whole fleet in force, and wait until it is.
+        """Replace the whole fleet, and wait until all entries use it.
+
+        Fails if --base is given and is not the version in force.  Waits
+        up to --wait seconds.
 
         Example: aspenfold apply fleet.json --base 41 --reason 'Easter'
         """
@@ -87,7 +90,7 @@
         )
 
     def history(self, json: bool = False) -> None:
-        """List the configurations that were accepted."""
+        """List the accepted configuration changes."""
         self.audit(kind='config', verdict='accepted', json=json)
 
     def audit(
@@ -98,9 +101,10 @@
         verdict: str = '',
         json: bool = False,
     ) -> None:
-        """List every change with who, what, from, to and offset.
+        """List all changes with author, verdict, old and new state.
 
-        --kind is one of config, lease, map, membership, snapshot.
+        --kind is one of config, lease, map, membership, snapshot.  --since
+        is the offset to begin with.
         """
         exit_status.run_and_exit(
             lambda: audit_module.AuditCommand(client=self._fleet_client()).run(
@@ -113,7 +117,7 @@
         )
 
     def status(self, json: bool = False) -> None:
-        """Show versions, endpoints, leases, maps, and what is stale."""
+        """Show entries, endpoints, leases and maps, and what is stale."""
         exit_status.run_and_exit(
             lambda: inspect_module.StatusCommand(
                 client=self._fleet_client()
@@ -123,13 +127,13 @@
     def drain(
         self, endpoint: str, reason: str = '', json: bool = False
     ) -> None:
-        """Give an endpoint no new work; what runs there finishes."""
+        """Send an endpoint no new requests; running ones finish."""
         self._member(endpoint, 'draining', reason, json)
 
     def undrain(
         self, endpoint: str, reason: str = '', json: bool = False
     ) -> None:
-        """Give a drained endpoint work again."""
+        """Send a drained endpoint requests again."""
         self._member(endpoint, 'live', reason, json)
 
     def explain(
@@ -140,7 +144,7 @@
         entry: str = '',
         json: bool = False,
     ) -> None:
-        """Show, rule by rule, where such a request would go."""
+        """Show how an entry would route a request, rule by rule."""
         exit_status.run_and_exit(
             lambda: inspect_module.ExplainCommand(
                 client=self._fleet_client()
@@ -156,7 +160,7 @@
     def trace(
         self, request_id: str, *log_files: str, json: bool = False
     ) -> None:
-        """Tell one request's story from the logs of several processes.
+        """Show the log lines of one request, from several processes.
 
         Example: aspenfold trace 9c41d07be2a35f68 gateway-*.log
         """
@@ -192,5 +196,5 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the program."""
     fire.Fire(OperatorCommands, name='aspenfold')
--- a/src/aspenfold/cli/plan.py
+++ b/src/aspenfold/cli/plan.py
@@ -1,4 +1,4 @@
-"""``aspenfold-plan``: the operators' plans on the users' platform."""
+"""``aspenfold-plan``: operators' tool for the gateway's plans."""
 
 import asyncio
 from collections import abc
@@ -19,13 +19,13 @@
 
 
 class PlanCommands:
-    """Check plans, and see what the platform's store has.
+    """Check plans, and show what the platform's store has.
 
-    The store is the one that the settings file of any gateway names, or
-    --store IP:PORT.
+    The address of the store is --store IP:PORT, or comes from a gateway's
+    settings file, named by the environment variable ASPENFOLD_SETTINGS.
 
-    Exit statuses: 0 done, 1 no route, 2 bad input, 5 the store does not
-    answer.
+    Exit statuses: 0 success, 1 no matching route, 2 invalid input, 5 the
+    store does not answer.
     """
 
     def __init__(self, store: str = '') -> None:
@@ -42,22 +42,25 @@
     def explain(
         self, host: str, path: str, plan_file: str = '', json: bool = False
     ) -> None:
-        """Show which route a request takes, by a file or the store."""
+        """Show which route a request takes.
 
-        def work() -> exit_status.Exit:
+        Uses the plan in --plan_file, or else the newest one in the store.
+        """
+
+        def run() -> exit_status.Exit:
             if plan_file:
                 plan = plans.load_plan(plan_file, config.decode)
             else:
-                plan = self._ask(plans.read_history)[-1].plan
+                plan = self._query(plans.read_history)[-1].plan
             return plans.ExplainCommand().run(plan, host, path, as_json=json)
 
-        exit_status.run_and_exit(work)
+        exit_status.run_and_exit(run)
 
     def status(self, json: bool = False) -> None:
         """Show the newest plan, endpoints, gateways and leases."""
         exit_status.run_and_exit(
             lambda: plans.StatusCommand().run(
-                self._ask(plans.read_status), as_json=json
+                self._query(plans.read_status), as_json=json
             )
         )
 
@@ -65,19 +68,24 @@
         """Show what each plan that the store still has changed."""
         exit_status.run_and_exit(
             lambda: plans.AuditCommand().run(
-                self._ask(plans.read_history), as_json=json
+                self._query(plans.read_history), as_json=json
             )
         )
 
-    def _ask(
+    def _query(
         self,
-        question: abc.Callable[[ports.Platform], abc.Awaitable[Result]],
+        query: abc.Callable[[ports.Platform], abc.Awaitable[Result]],
     ) -> Result:
-        async def ask() -> Result:
-            return await question(factory.create_platform(self._address()))
+        """Return what ``query`` reads from the store.
+
+        Raises ConfigError if the store does not answer.
+        """
+
+        async def run_query() -> Result:
+            return await query(factory.create_platform(self._address()))
 
         try:
-            return asyncio.run(ask())
+            return asyncio.run(run_query())
         except ports.StoreUnavailable as exc:
             raise exceptions.ConfigError(
                 exceptions.Failure(
@@ -91,12 +99,12 @@
     def _address(self) -> settings.TcpAddress:
         if self._store:
             return platform_settings.parse_address(self._store, 'store')
-        found = platform_settings.load_gateway(
+        cfg = platform_settings.load_gateway(
             platform_settings.path_from_environment()
         )
-        return found.store
+        return cfg.store
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the program."""
     fire.Fire(PlanCommands, name='aspenfold-plan')
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -1,4 +1,4 @@
-"""``aspenfold-rank-agent``: beside an engine, for the leader of its group."""
+"""``aspenfold-rank-agent``: forwards calls to the engine on its host."""
 
 import asyncio
 import sys
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Serve by the settings file that the environment names."""
+    """Serve with the settings file that the environment names."""
     sys.exit(exit_status.run_command(_serve))
 
 
--- a/tests/functional/test_plan_program.py
+++ b/tests/functional/test_plan_program.py
@@ -1,4 +1,4 @@
-"""``aspenfold-plan`` against the store's stand-in."""
+"""``aspenfold-plan`` against a stand-in of the store."""
 
 import asyncio
 import json
@@ -17,11 +17,11 @@
 )
 
 
-async def run(port: int, *words: str) -> tuple[int, str, str]:
-    """Run the program; return its status and both outputs."""
+async def run(port: int, *arguments: str) -> tuple[int, str, str]:
+    """Run the program; return its exit status, stdout and stderr."""
     process = await asyncio.create_subprocess_exec(
         *PROGRAM,
-        *words,
+        *arguments,
         f'--store=127.0.0.1:{port}',
         env=dict(os.environ),
         stdout=asyncio.subprocess.PIPE,
@@ -31,19 +31,19 @@
     return process.returncode or 0, out.decode(), err.decode()
 
 
-def test_status_and_audit_read_the_store() -> None:
-    """Also once the history was trimmed, and once it is away."""
+def test_commands_read_plans_from_the_store() -> None:
+    """Covers a trimmed history and a store that does not answer."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         rig = rigs.Rig()
         await rig.store.start()
         port = rig.store.port
         await rig.configure(rigs.plan(3))
-        more = rigs.plan(5)
-        routes = more['routes']
+        updated = rigs.plan(5)
+        routes = updated['routes']
         assert isinstance(routes, list)
-        more['routes'] = [*routes, rigs.route('/new/', 'safe')]
-        await rig.configure(more)
+        updated['routes'] = [*routes, rigs.route('/new/', 'safe')]
+        await rig.configure(updated)
         worker = await rig.add_worker('w-1')
         await rig.store.put(
             endpoint_records.TOPIC, 'w-1', worker.entry('plain', 'draining')
@@ -71,4 +71,4 @@
         assert status == exit_status.Exit.UNREACHABLE
         assert 'store does not answer' in err
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/functional/test_programs.py
+++ b/tests/functional/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs' own errors: coded, without a traceback."""
+"""Programs report errors with a code and without a traceback."""
 
 import concurrent.futures
 import json
@@ -14,12 +14,12 @@
 
 from aspenfold_standins import launcher
 
-BURST = 120
+CONCURRENT_CALLERS = 120
 BIN = pathlib.Path(sys.executable).parent
 
 
 def run(program: str, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run a program to its end."""
+    """Run a program until it exits."""
     return subprocess.run(
         [str(BIN / program), *arguments],
         capture_output=True,
@@ -30,16 +30,16 @@
 
 
 @pytest.mark.parametrize('program', ['aspenfold-entry', 'aspenfold-agent'])
-def test_missing_settings(program: str) -> None:
-    """The file is named, with the way out."""
+def test_missing_settings_file_is_named(program: str) -> None:
+    """Server programs exit with the usage status."""
     result = run(program, '/nowhere.json')
     assert result.returncode == 2
     assert '[5000] cannot read /nowhere.json' in result.stderr
     assert 'Traceback' not in result.stderr
 
 
-def test_port_in_use(tmp_path: pathlib.Path) -> None:
-    """The setting that names the port is told."""
+def test_port_in_use_names_the_setting(tmp_path: pathlib.Path) -> None:
+    """The error must say which setting has the port."""
     with socket.create_server(('127.0.0.1', 0)) as taken:
         port = taken.getsockname()[1]
         settings = tmp_path / 'agent.json'
@@ -64,20 +64,22 @@
     assert 'Traceback' not in result.stderr
 
 
-def test_operator_without_settings() -> None:
-    """The operator is told which file is missing."""
+def test_operator_command_without_settings_fails() -> None:
+    """The command exits with the usage status."""
     result = run('aspenfold', 'status')
     assert result.returncode == 2
     assert 'Traceback' not in result.stderr
 
 
-def test_http_errors_and_health(deployment: launcher.Deployment) -> None:
-    """Oversized bodies, strange paths, wrong methods; and metrics."""
+def test_entry_reports_errors_health_and_metrics(
+    deployment: launcher.Deployment,
+) -> None:
+    """Covers oversized bodies, unknown paths and missing credentials."""
     client = client_module.Client(deployment)
     large = client.post(0, '/services/till/ping', {'x': 'y' * 1_100_000})
     assert (large.status, large.code) == (413, 1004)
-    nothing = client.post(0, '/nothing/here', {})
-    assert (nothing.status, nothing.code) == (404, 4005)
+    unknown = client.post(0, '/nothing/here', {})
+    assert (unknown.status, unknown.code) == (404, 4005)
     assert client.ping(0).status == 200
     entry = deployment.children[deployment.entries()[0]]
     pool = urllib3.PoolManager()
@@ -91,14 +93,12 @@
     assert 'aspenfold_config_version 1.0' in metrics
 
 
-def test_a_burst_of_connections(deployment: launcher.Deployment) -> None:
-    """Callers that connect at the same moment are all answered.
-
-    Found by the benchmark: a short listen queue let connections be
-    reset.
-    """
+def test_concurrent_connections_are_not_reset(
+    deployment: launcher.Deployment,
+) -> None:
+    """A too short listen queue lets the kernel reset connections."""
     entry = deployment.children[deployment.entries()[0]]
-    start = threading.Barrier(BURST)
+    start = threading.Barrier(CONCURRENT_CALLERS)
 
     def ping() -> int:
         pool = urllib3.PoolManager(retries=False)
@@ -107,7 +107,7 @@
         headers = client_module.HEADERS
         return pool.request('POST', url, json={}, headers=headers).status
 
-    with concurrent.futures.ThreadPoolExecutor(BURST) as executor:
-        futures = [executor.submit(ping) for _ in range(BURST)]
+    with concurrent.futures.ThreadPoolExecutor(CONCURRENT_CALLERS) as executor:
+        futures = [executor.submit(ping) for _ in range(CONCURRENT_CALLERS)]
         statuses = {future.result() for future in futures}
     assert statuses == {200}
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -1,4 +1,4 @@
-"""Operators race, and answers are lost after they took effect (P7)."""
+"""Applied changes are neither lost nor doubled by races and failures."""
 
 import datetime
 import json
@@ -22,12 +22,12 @@
 
 @pytest.fixture
 def log() -> operators.FlakyLog:
-    """Return a log that behaves until told otherwise."""
+    """Return a log that works until faults are set."""
     return operators.FlakyLog(fake_log.FakeLog())
 
 
-def write(tmp_path: pathlib.Path, name: str) -> str:
-    """Write a fleet called ``name`` and return its path."""
+def write_fleet(tmp_path: pathlib.Path, name: str) -> str:
+    """Write a fleet file and return its path."""
     path = tmp_path / f'{name}.json'
     path.write_text(json.dumps(fleets.document(name=name)))
     return str(path)
@@ -43,83 +43,94 @@
     )
 
 
-def names(log: operators.FlakyLog) -> str:
+def fleet_name(log: operators.FlakyLog) -> str:
     """Return the name of the fleet in force."""
     client = operators.operator(log)
     client.catch_up()
     return str(client.state.document.get('name'))
 
 
-def test_a_race_has_one_winner_and_a_clear_conflict(
+def test_second_of_two_concurrent_changes_gets_a_conflict(
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
-    """The rival's change lands first; the loser is told what changed."""
-    run_apply(log, write(tmp_path, 'first'))
+    """The conflict error names the author and paths of the first change."""
+    run_apply(log, write_fleet(tmp_path, 'first'))
     rival = operators.FlakyLog(log.log)
-    log.before_append = lambda: run_apply(rival, write(tmp_path, 'rival'))
+    log.before_append = lambda: run_apply(
+        rival, write_fleet(tmp_path, 'rival')
+    )
     with pytest.raises(exceptions.ConfigError) as caught:
-        run_apply(log, write(tmp_path, 'mine'))
+        run_apply(log, write_fleet(tmp_path, 'mine'))
     assert caught.value.failure.code is exceptions.Code.CONFIG_CONFLICT
     assert 'version 2 by someone' in caught.value.failure.detail
     assert '/name' in caught.value.failure.detail
-    assert names(log) == 'rival'
+    assert fleet_name(log) == 'rival'
 
 
-def test_an_old_base_is_a_conflict_before_anything_is_written(
+def test_outdated_base_version_is_a_conflict(
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
-    """--base names the version that the operator looked at."""
-    run_apply(log, write(tmp_path, 'first'))
-    run_apply(log, write(tmp_path, 'second'))
+    """Nothing is appended if --base is not the version in force."""
+    run_apply(log, write_fleet(tmp_path, 'first'))
+    run_apply(log, write_fleet(tmp_path, 'second'))
     with pytest.raises(exceptions.ConfigError) as caught:
-        run_apply(log, write(tmp_path, 'third'), base=1)
+        run_apply(log, write_fleet(tmp_path, 'third'), base=1)
     assert caught.value.failure.code is exceptions.Code.CONFIG_CONFLICT
     assert log.log.appends == 2
 
 
-@pytest.mark.parametrize(('lost', 'failed'), [(1, 0), (2, 0), (0, 2)])
-def test_a_lost_answer_is_not_a_lost_or_doubled_change(
-    log: operators.FlakyLog, tmp_path: pathlib.Path, lost: int, failed: int
+@pytest.mark.parametrize(
+    ('lost_responses', 'failed_appends'), [(1, 0), (2, 0), (0, 2)]
+)
+def test_append_errors_neither_lose_nor_double_a_change(
+    log: operators.FlakyLog,
+    tmp_path: pathlib.Path,
+    lost_responses: int,
+    failed_appends: int,
 ) -> None:
-    """The fate of an append is read from the log."""
-    log.lose_answers = lost
-    log.fail_appends = failed
-    assert run_apply(log, write(tmp_path, 'first')) is exit_status.Exit.OK
-    assert names(log) == 'first'
+    """After an error the client looks for its record on the log."""
+    log.lose_answers = lost_responses
+    log.fail_appends = failed_appends
+    assert (
+        run_apply(log, write_fleet(tmp_path, 'first')) is exit_status.Exit.OK
+    )
+    assert fleet_name(log) == 'first'
     rows = audit.AuditCommand(client=operators.operator(log)).rows()
     accepted = [row for row in rows if row['verdict'] == 'accepted']
     assert len(accepted) == 1
 
 
-def test_a_lost_answer_in_a_race_tells_the_loser_the_truth(
+def test_lost_response_in_a_race_is_still_a_conflict(
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
-    """The append took effect, but after the rival's: a conflict."""
-    run_apply(log, write(tmp_path, 'first'))
+    """The record was appended, but after the one of another operator."""
+    run_apply(log, write_fleet(tmp_path, 'first'))
     rival = operators.FlakyLog(log.log)
-    log.before_append = lambda: run_apply(rival, write(tmp_path, 'rival'))
+    log.before_append = lambda: run_apply(
+        rival, write_fleet(tmp_path, 'rival')
+    )
     log.lose_answers = 1
     with pytest.raises(exceptions.ConfigError) as caught:
-        run_apply(log, write(tmp_path, 'mine'))
+        run_apply(log, write_fleet(tmp_path, 'mine'))
     assert caught.value.failure.code is exceptions.Code.CONFIG_CONFLICT
-    assert names(log) == 'rival'
+    assert fleet_name(log) == 'rival'
 
 
-def test_a_log_that_stays_away_leaves_the_fate_open(
+def test_unavailable_log_is_reported_as_unknown_result(
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
-    """The operator is told that it is not known."""
+    """The error must not claim that the change was rejected."""
     log.fail_appends = 99
     with pytest.raises(exceptions.ConfigError) as caught:
-        run_apply(log, write(tmp_path, 'first'))
+        run_apply(log, write_fleet(tmp_path, 'first'))
     assert caught.value.failure.code is exceptions.Code.APPEND_UNKNOWN
 
 
-def test_audit_shows_who_what_from_and_to(
+def test_audit_shows_author_and_old_and_new_state(
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
-    """P8: accepted and rejected changes, each with its offset."""
-    run_apply(log, write(tmp_path, 'first'))
+    """Each change is listed with its offset, author and reason."""
+    run_apply(log, write_fleet(tmp_path, 'first'))
     client = operators.operator(log)
     membership.MembershipCommand(client=client).run(
         'till-0', 'draining', reason='repair', as_json=True
@@ -134,43 +145,45 @@
     assert all(row['who'].startswith('someone/') for row in rows)
 
 
-def test_audit_guard_removed(
+def test_audit_without_rejected_records_is_detected(
     log: operators.FlakyLog,
     tmp_path: pathlib.Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An audit that shows only accepted records fails its check."""
-    right = reader.FleetReader.apply_page
+    """The check of the audit fails if only accepted records are shown."""
+    original = reader.FleetReader.apply_page
 
     def accepted_only(
         self: reader.FleetReader, page: reader.Page
     ) -> list[reader.AppliedRecord]:
         return [
-            judged
-            for judged in right(self, page)
-            if judged.verdict is reducer.Verdict.ACCEPTED
+            applied
+            for applied in original(self, page)
+            if applied.verdict is reducer.Verdict.ACCEPTED
         ]
 
-    run_apply(log, write(tmp_path, 'first'))
+    run_apply(log, write_fleet(tmp_path, 'first'))
     rival = operators.FlakyLog(log.log)
-    log.before_append = lambda: run_apply(rival, write(tmp_path, 'rival'))
+    log.before_append = lambda: run_apply(
+        rival, write_fleet(tmp_path, 'rival')
+    )
     with pytest.raises(exceptions.ConfigError):
-        run_apply(log, write(tmp_path, 'mine'))
-    assert audited(log) == ['accepted', 'accepted', 'conflict']
+        run_apply(log, write_fleet(tmp_path, 'mine'))
+    assert audit_verdicts(log) == ['accepted', 'accepted', 'conflict']
     monkeypatch.setattr(reader.FleetReader, 'apply_page', accepted_only)
-    assert audited(log) != ['accepted', 'accepted', 'conflict']
+    assert audit_verdicts(log) != ['accepted', 'accepted', 'conflict']
 
 
-def audited(log: operators.FlakyLog) -> list[str]:
-    """Return the verdicts that the audit shows."""
+def audit_verdicts(log: operators.FlakyLog) -> list[str]:
+    """Return the verdicts in the audit, in order of offsets."""
     command = audit.AuditCommand(client=operators.operator(log))
     return [row['verdict'] for row in command.rows()]
 
 
-def test_drain_of_an_unknown_endpoint_writes_nothing(
+def test_drain_of_an_unknown_endpoint_appends_nothing(
     log: operators.FlakyLog,
 ) -> None:
-    """A mistyped name is told, with the names that there are."""
+    """The error lists the names of the endpoints that exist."""
     command = membership.MembershipCommand(client=operators.operator(log))
     with pytest.raises(exceptions.ConfigError) as caught:
         command.run('till-9', 'draining', reason='', as_json=True)
--- a/tests/unit/test_plans.py
+++ b/tests/unit/test_plans.py
@@ -1,4 +1,4 @@
-"""``aspenfold-plan``: checks, routes and changes, without a store."""
+"""The commands of ``aspenfold-plan`` on plans from files."""
 
 import json
 import pathlib
@@ -13,23 +13,25 @@
 from tests.lib import gateway_rig as rigs
 
 
-def decoded(value: dict[str, object]) -> plan.Plan:
-    """Return a plan as the store has it."""
+def decode(value: dict[str, object]) -> plan.Plan:
+    """Decode a plan from the platform's format."""
     return config.decode(json.dumps(value).encode())
 
 
-def with_routes(*routes: dict[str, object], **more: object) -> plan.Plan:
-    """Return the example plan with other routes."""
-    return decoded(rigs.plan(routes=list(routes), **more))
+def plan_with_routes(
+    *routes: dict[str, object], **fields: object
+) -> plan.Plan:
+    """Return the example plan with other routes and fields."""
+    return decode(rigs.plan(routes=list(routes), **fields))
 
 
-def test_a_sound_plan_has_no_mistakes(
+def test_valid_plan_is_summarised_without_its_keys(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """And is summed up without its keys."""
-    found = decoded(rigs.plan(4))
+    """The organisations' keys are secrets."""
+    valid = decode(rigs.plan(4))
     assert (
-        plans.ValidateCommand().run(found, as_json=False)
+        plans.ValidateCommand().run(valid, as_json=False)
         is exit_status.Exit.OK
     )
     text = capsys.readouterr().out
@@ -37,9 +39,9 @@
     assert rigs.KEY not in text
 
 
-def test_all_mistakes_are_told_at_once() -> None:
-    """Each names what it is about."""
-    found = with_routes(
+def test_all_errors_are_reported_at_once() -> None:
+    """Each error names its route or organisation."""
+    invalid = plan_with_routes(
         rigs.route('/a/', 'safe'),
         rigs.route('/a/', 'safe'),
         rigs.route('/b', 'safe', service='none'),
@@ -54,12 +56,12 @@
             {'name': 'two', 'api_keys': ['k']},
         ],
     )
-    told = [
+    errors = [
         (str(row['where']).rpartition(rigs.HOST)[2], str(row['mistake']))
-        for row in plans.find_errors(found)
+        for row in plans.find_errors(invalid)
     ]
-    assert told == [
-        ('/a/', 'stands twice'),
+    assert errors == [
+        ('/a/', 'is defined more than once'),
         ('/b', 'its prefix does not begin and end with /'),
         ('/b', "no service is named 'none'"),
         ('/c/', 'its objective is longer than its timeout'),
@@ -68,10 +70,10 @@
     ]
 
 
-def test_a_file_that_is_no_plan_is_a_coded_error(
+def test_invalid_plan_file_is_a_config_error(
     tmp_path: pathlib.Path,
 ) -> None:
-    """It names the file, and the field that is wrong."""
+    """The error says whether the file or a field in it is the problem."""
     path = tmp_path / 'plan.json'
     with pytest.raises(exceptions.ConfigError, match='cannot read'):
         plans.load_plan(str(path), config.decode)
@@ -81,31 +83,33 @@
     assert caught.value.failure.code is exceptions.Code.CONFIG_INVALID
 
 
-def test_the_longest_prefix_is_used(
+def test_explain_shows_the_longest_prefix_as_used(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """The others that match stand below it."""
-    found = with_routes(
+    """The other matching routes follow."""
+    example = plan_with_routes(
         rigs.route('/a/', 'safe'),
         rigs.route('/a/b/', 'unsafe'),
         rigs.route('/z/', 'safe'),
     )
     command = plans.ExplainCommand()
-    status = command.run(found, rigs.HOST, '/a/b/c', as_json=True)
+    status = command.run(example, rigs.HOST, '/a/b/c', as_json=True)
     assert status is exit_status.Exit.OK
     rows = json.loads(capsys.readouterr().out)
     assert [(r['prefix'], r['used']) for r in rows] == [
         ('/a/b/', True),
         ('/a/', False),
     ]
-    status = command.run(found, rigs.HOST, '/none', as_json=True)
+    status = command.run(example, rigs.HOST, '/none', as_json=True)
     assert status is exit_status.Exit.FAILED
 
 
-def test_changes_name_the_fields_and_count_keys() -> None:
-    """From what, to what."""
-    old = with_routes(rigs.route('/a/', 'safe'), rigs.route('/b/', 'safe'))
-    new = with_routes(
+def test_changes_show_old_and_new_values_and_count_keys() -> None:
+    """Changes of keys are counted, as keys are secrets."""
+    old = plan_with_routes(
+        rigs.route('/a/', 'safe'), rigs.route('/b/', 'safe')
+    )
+    new = plan_with_routes(
         rigs.route('/a/', 'safe', max_attempts=3),
         rigs.route('/c/', 'safe'),
         tenants=[{'name': 'one', 'api_keys': ['other']}],
@@ -121,6 +125,6 @@
         f'route {rigs.HOST}/c/ added',
         f'route {rigs.HOST}/b/ removed',
         f'route {rigs.HOST}/a/ changed: max_attempts 2 to 3',
-        'organisation one: 1 keys added, 1 taken',
+        'organisation one: 1 keys added, 1 removed',
         'limits changed: body_bytes 10000 to 5',
     ]
--- a/tests/unit/test_trace.py
+++ b/tests/unit/test_trace.py
@@ -1,4 +1,4 @@
-"""One request's story out of the logs of several processes."""
+"""``aspenfold trace`` finds a request's lines in several logs."""
 
 import json
 import pathlib
@@ -18,8 +18,8 @@
 ]
 
 
-def logs(tmp_path: pathlib.Path) -> list[str]:
-    """Write two logs: a plain one, and one with a collector's prefix."""
+def write_logs(tmp_path: pathlib.Path) -> list[str]:
+    """Write a plain log and one with a collector's prefix; return paths."""
     plain = tmp_path / 'one.log'
     plain.write_text('\n'.join(json.dumps(x) for x in LINES[:2]) + '\nx {\n')
     prefixed = tmp_path / 'two.log'
@@ -29,30 +29,30 @@
     return [str(plain), str(prefixed)]
 
 
-def test_lines_come_in_order_from_all_files(tmp_path: pathlib.Path) -> None:
-    """Those of other requests and broken lines are left out."""
-    lines = trace.read_logs(logs(tmp_path))
-    found = trace.request_lines(lines, 'a')
-    assert [x.fields['event'] for x in found] == [300, 301, 202, 999]
-    assert found[1].source == '1.5 host-2'
-    assert trace.count_omitted_lines(lines) == {'x': 4}
+def test_lines_of_all_files_are_sorted_by_time(tmp_path: pathlib.Path) -> None:
+    """Invalid lines and those of other requests are ignored."""
+    lines = trace.read_logs(write_logs(tmp_path))
+    matching = trace.request_lines(lines, 'a')
+    assert [x.fields['event'] for x in matching] == [300, 301, 202, 999]
+    assert matching[1].source == '1.5 host-2'
+    assert trace.count_dropped_lines(lines) == {'x': 4}
 
 
-def test_the_command_prints_the_story(
+def test_command_prints_the_lines_of_a_request(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """With what was left out; an unknown id fails."""
+    """It also reports dropped lines, and fails for an unknown id."""
     command = trace.TraceCommand()
-    paths = logs(tmp_path)
+    paths = write_logs(tmp_path)
     assert command.run('a', paths, as_json=False) is exit_status.Exit.OK
     printed = capsys.readouterr().out
     assert 'CALL_FAILED' in printed
     assert 'code=1102' in printed
-    assert '4 lines of x were left out' in printed
+    assert '4 lines of x were dropped' in printed
     assert command.run('zz', paths, as_json=False) is exit_status.Exit.FAILED
 
 
-def test_a_missing_log_is_named() -> None:
-    """With what to do."""
+def test_missing_log_file_is_named() -> None:
+    """The error must say which of the files cannot be read."""
     with pytest.raises(exceptions.ConfigError, match='nowhere.log'):
         trace.read_logs(['nowhere.log'])
