--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -129,11 +129,11 @@
         stream_id = self._next_stream_id
         self._next_stream_id += 1
         self._streams[stream_id] = call_id
-        endpoint = self._flows[call_id].endpoint
-        self._stream_endpoint[stream_id] = endpoint
-        known = self.view.get(endpoint)
-        if known is not None:
-            known.in_flight += 1
+        endpoint_name = self._flows[call_id].endpoint
+        self._stream_endpoint[stream_id] = endpoint_name
+        endpoint = self.view.get(endpoint_name)
+        if endpoint is not None:
+            endpoint.in_flight += 1
         return stream_id
 
     def retry_delay(
@@ -147,10 +147,10 @@
     ) -> None:
         """Record a complete answer and how long it took."""
         self.view.record_success(endpoint)
-        taken = now - call.received_at
-        before = self._service_time.get(call.service, taken)
+        service_time = now - call.received_at
+        before = self._service_time.get(call.service, service_time)
         self._service_time[call.service] = (
-            before + (taken - before) * MOVING_AVERAGE_WEIGHT
+            before + (service_time - before) * MOVING_AVERAGE_WEIGHT
         )
 
     @property
@@ -243,9 +243,9 @@
     ) -> list[actions.Action]:
         """Apply a page of a claim stream and notify the calls it affects."""
         self._log_up = True
-        seen = self._claim_tables[stream].apply_page(page, now)
+        claimed_keys = self._claim_tables[stream].apply_page(page, now)
         result: list[actions.Action] = []
-        for key in sorted(seen):
+        for key in sorted(claimed_keys):
             for call_id in sorted(self._calls_by_key.get(key, ())):
                 flow = self._flows[call_id]
                 result.extend(self._after_event(flow, flow.on_claims(now)))
@@ -395,9 +395,9 @@
     def _remove_stream(self, stream_id: int) -> None:
         if self._streams.pop(stream_id, None) is None:
             return
-        known = self.view.get(self._stream_endpoint.pop(stream_id))
-        if known is not None and known.in_flight > 0:
-            known.in_flight -= 1
+        endpoint = self.view.get(self._stream_endpoint.pop(stream_id))
+        if endpoint is not None and endpoint.in_flight > 0:
+            endpoint.in_flight -= 1
 
     def _retry_policy(self, service: str) -> retry_policy.RetryPolicy:
         return self._policy(retry_policy.KIND, service, rng=self._rng)
