--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -12,7 +12,7 @@
 def _pause(seed: int, fault: str) -> float:
     """Return the ms from the fault to the first step after it."""
     world = simulated_group.SimulatedGroup(seed=seed)
-    world.put_plan(5)
+    world.set_plan(5)
     world.sim.run(1500 + seed * 37)
     if fault == 'agent of a rank restarted':
         world.restart_agent(1)
@@ -21,15 +21,15 @@
     elif fault == 'rank replaced':
         world.replace_rank(1)
     elif fault == 'map changed':
-        world.put_plan(6)
+        world.set_plan(6)
     began = world.sim.ms
     longest = 0.0
-    last, last_ms = world.steps_done, began
+    last, last_ms = world.completed_steps, began
     while world.sim.ms < began + LIMIT_MS // 4:
         world.sim.run(5)
-        if world.steps_done > last:
+        if world.completed_steps > last:
             longest = max(longest, world.sim.ms - last_ms)
-            last, last_ms = world.steps_done, world.sim.ms
+            last, last_ms = world.completed_steps, world.sim.ms
     return max(longest, world.sim.ms - last_ms)
 
 
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -23,7 +23,7 @@
     """Run a scene with a gateway."""
 
     async def run() -> None:
-        async with rigs.running(value) as rig:
+        async with rigs.running_rig(value) as rig:
             await scene(rig)
 
     asyncio.run(run())
@@ -35,8 +35,8 @@
     """Add two endpoints with these scripts."""
     one = await rig.add_worker('w-1', first)
     other = await rig.add_worker('w-2', second)
-    await rig.ready()
-    await rigs.until(lambda: rig.process.endpoints == 2)
+    await rig.wait_until_ready()
+    await rigs.wait_until(lambda: rig.gateway.endpoints == 2)
     return one, other
 
 
@@ -50,10 +50,10 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
-        answer = await rig.ask('/safe/a?b=c', body='hello')
+        await rig.wait_until_ready()
+        answer = await rig.request('/safe/a?b=c', body='hello')
         assert answer.status == 200
-        assert answer.whole
+        assert answer.complete
         assert answer.body == b'answer of w-1'
         assert answer.headers[SEAL_HEADER] == 'seal-w-1'
         request = rig.workers[0].arrivals[0]
@@ -68,8 +68,8 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
-        await rig.ask(
+        await rig.wait_until_ready()
+        await rig.request(
             '/safe/',
             X_Aspenfold_Tenant='forged',
             X_Aspenfold_Expect_Instance='forged',
@@ -103,8 +103,8 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
-        assert (await rig.ask(path, key)).status == status
+        await rig.wait_until_ready()
+        assert (await rig.request(path, key)).status == status
 
     run_scene(scene)
 
@@ -113,19 +113,19 @@
     """A 404 or 401 would be wrong, and the process must not be ready."""
 
     async def scene(rig: rigs.Rig) -> None:
-        answer = await rig.ask('/safe/')
+        answer = await rig.request('/safe/')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
-        assert not rig.process.ready
+        assert not rig.gateway.ready
         rig.store.trouble = rig.store.trouble.NONE
         await rig.add_worker('w-1')
-        await rig.ready()
-        assert (await rig.ask('/safe/')).status == 200
+        await rig.wait_until_ready()
+        assert (await rig.request('/safe/')).status == 200
 
     async def run() -> None:
         rig = rigs.Rig()
         await rig.store.start()
-        await rig.configure(rigs.plan())
+        await rig.write_plan(rigs.make_plan())
         rig.store.trouble = rig.store.trouble.BUSY
         await rig.start()
         try:
@@ -143,7 +143,7 @@
         bad, _ = await add_two_workers(rig, workers.failing, workers.whole)
         # Either endpoint may be chosen first.
         for _ in range(64):
-            answer = await rig.ask('/safe/')
+            answer = await rig.request('/safe/')
             if bad.arrivals:
                 break
         assert answer.status == 200
@@ -171,7 +171,7 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await add_two_workers(rig, script, script)
-        answer = await rig.ask('/unsafe/', body='x')
+        answer = await rig.request('/unsafe/', body='x')
         assert answer.status == status
         assert 'retry-after' not in answer.headers
         assert run_count(rig) == 1
@@ -186,7 +186,7 @@
         shut, _ = await add_two_workers(rig, workers.whole, workers.whole)
         await shut.stop()
         for _ in range(6):
-            assert (await rig.ask('/unsafe/', body='x')).status == 200
+            assert (await rig.request('/unsafe/', body='x')).status == 200
         assert not shut.arrivals
 
     run_scene(scene)
@@ -198,11 +198,11 @@
     async def scene(rig: rigs.Rig) -> None:
         shut, _ = await add_two_workers(rig, workers.whole, workers.whole)
         await shut.stop()
-        budget = rig.process._core.retry_budget('plain')
+        budget = rig.gateway._core.retry_budget('plain')
         while budget.take():
             pass
         for _ in range(6):
-            assert (await rig.ask('/unsafe/', body='x')).status == 200
+            assert (await rig.request('/unsafe/', body='x')).status == 200
 
     run_scene(scene)
 
@@ -212,7 +212,7 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await add_two_workers(rig, workers.full, workers.full)
-        answer = await rig.ask('/once/', body='x')
+        answer = await rig.request('/once/', body='x')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
         assert sum(len(w.arrivals) for w in rig.workers) == 1
@@ -226,10 +226,10 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1', workers.unframed)
-        await rig.ready()
-        answer = await rig.ask('/unsafe/', body='x')
+        await rig.wait_until_ready()
+        answer = await rig.request('/unsafe/', body='x')
         assert (answer.status, answer.body) == (200, b'no length')
-        assert answer.whole
+        assert answer.complete
 
     run_scene(scene)
 
@@ -239,9 +239,9 @@
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1')
-        await rig.ready()
+        await rig.wait_until_ready()
         worker.name = 'w-9'
-        answer = await rig.ask('/once/', body='x')
+        answer = await rig.request('/once/', body='x')
         assert answer.status == 503
         assert run_count(rig) == 0
 
@@ -262,8 +262,8 @@
         )
         # Either endpoint may be chosen first.
         for _ in range(64):
-            answer = await rig.ask('/stream/', body='x')
-            assert answer.whole
+            answer = await rig.request('/stream/', body='x')
+            assert answer.complete
             assert answer.body == whole_stream()
             if broken.arrivals:
                 break
@@ -281,9 +281,9 @@
         await add_two_workers(
             rig, workers.stream_broken, workers.stream_broken
         )
-        answer = await rig.ask('/song/', body='x')
+        answer = await rig.request('/song/', body='x')
         assert answer.status == 200
-        assert not answer.whole
+        assert not answer.complete
         assert answer.body == whole_stream(4)
         assert run_count(rig) == 1
 
@@ -296,9 +296,9 @@
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.stream)
         worker.gap_s = 0.2
-        await rig.ready()
+        await rig.wait_until_ready()
         reader, writer = await rig.connect()
-        writer.write(rig.head('/stream/')[1])
+        writer.write(rig.request_head('/stream/')[1])
         data = b''
         while workers.event(1) not in data:
             data += await reader.read(1000)
@@ -318,12 +318,12 @@
         worker = await rig.add_worker('w-1', script)
         worker.gap_s = 0.1
         worker.events = 1000
-        await rig.ready()
+        await rig.wait_until_ready()
         _, writer = await rig.connect()
-        writer.write(rig.head('/stream/')[1])
-        await rigs.until(lambda: worker.runs)
+        writer.write(rig.request_head('/stream/')[1])
+        await rigs.wait_until(lambda: worker.runs)
         writer.close()
-        await rigs.until(lambda: worker.cancelled)
+        await rigs.wait_until(lambda: worker.cancelled)
 
     run_scene(scene)
 
@@ -333,8 +333,8 @@
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.hang)
-        await rig.ready()
-        assert (await rig.ask('/short/')).status == 504
+        await rig.wait_until_ready()
+        assert (await rig.request('/short/')).status == 504
         left = worker.arrivals[0].headers['x-aspenfold-deadline-remaining-ms']
         assert int(left) <= 300
 
@@ -347,11 +347,11 @@
     async def scene(rig: rigs.Rig) -> None:
         for name in ('w-1', 'w-2'):
             await rig.add_worker(name, workers.group_down, 'model')
-        await rig.ready()
-        answer = await rig.ask('/model/', body='x')
+        await rig.wait_until_ready()
+        answer = await rig.request('/model/', body='x')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 1
-        assert sum(rigs.asked(w, '/model/') for w in rig.workers) == 1
+        assert sum(rigs.count_requests(w, '/model/') for w in rig.workers) == 1
 
     run_scene(scene)
 
@@ -365,17 +365,17 @@
         await rig.store.put(
             rigs.endpoint_records.TOPIC, 'w-1', worker.entry('model')
         )
-        await rig.ready()
+        await rig.wait_until_ready()
         _, writer = await rig.connect()
-        writer.write(rig.head('/model/')[1])
-        await rigs.until(lambda: worker.runs)
-        answer = await rig.ask('/model/')
+        writer.write(rig.request_head('/model/')[1])
+        await rigs.wait_until(lambda: worker.runs)
+        answer = await rig.request('/model/')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
-        assert rigs.asked(worker, '/model/') == 1
+        assert rigs.count_requests(worker, '/model/') == 1
         worker.script = workers.stream
         left = {'X_Aspenfold_Deadline_Remaining_Ms': '3000'}
-        assert (await rig.ask('/model/', **left)).status == 200
+        assert (await rig.request('/model/', **left)).status == 200
         writer.close()
 
     run_scene(scene)
@@ -393,12 +393,12 @@
         else:
             entry = leaving.entry('plain', 'draining')
             await rig.store.put(topic, 'w-1', entry)
-        await rigs.until(lambda: rig.process.routable('plain') == 1)
+        await rigs.wait_until(lambda: rig.gateway.routable('plain') == 1)
         # The state is kept while the store is unavailable.
         rig.store.trouble = rig.store.trouble.RESET
         before = len(leaving.arrivals)
         for _ in range(6):
-            assert (await rig.ask('/safe/')).status == 200
+            assert (await rig.request('/safe/')).status == 200
         assert len(leaving.arrivals) == before
 
     run_scene(scene)
@@ -409,19 +409,19 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
+        await rig.wait_until_ready()
         rig.store.begin_stale()
         rig.store.trouble = rig.store.trouble.NONE
-        await rig.configure(rigs.plan(5, tenants=[]))
-        await rigs.until(lambda: rig.process.plan_version == 5)
-        assert (await rig.ask('/safe/', '')).status == 200
+        await rig.write_plan(rigs.make_plan(5, tenants=[]))
+        await rigs.wait_until(lambda: rig.gateway.plan_version == 5)
+        assert (await rig.request('/safe/', '')).status == 200
         rig.store.drop_history(rigs.config.TOPIC)
-        await rig.configure(rigs.plan(3))
-        await rig.configure(rigs.plan(6))
-        await rigs.until(lambda: rig.process.plan_version == 6)
+        await rig.write_plan(rigs.make_plan(3))
+        await rig.write_plan(rigs.make_plan(6))
+        await rigs.wait_until(lambda: rig.gateway.plan_version == 6)
         rig.store.trouble = rig.store.trouble.STALE
-        assert (await rig.ask('/safe/', '')).status == 401
-        assert rig.process.plan_version == 6
+        assert (await rig.request('/safe/', '')).status == 401
+        assert rig.gateway.plan_version == 6
 
     run_scene(scene)
 
@@ -431,11 +431,11 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
-        await rig.configure({'version': 'nonsense'})
-        await rig.configure(rigs.plan(2))
-        await rigs.until(lambda: rig.process.plan_version == 2)
-        assert (await rig.ask('/safe/')).status == 200
+        await rig.wait_until_ready()
+        await rig.write_plan({'version': 'nonsense'})
+        await rig.write_plan(rigs.make_plan(2))
+        await rigs.wait_until(lambda: rig.gateway.plan_version == 2)
+        assert (await rig.request('/safe/')).status == 200
 
     run_scene(scene)
 
@@ -446,16 +446,16 @@
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.stream)
         worker.gap_s = 0.05
-        await rig.ready()
-        asking = asyncio.ensure_future(rig.ask('/stream/', body='x'))
-        await rigs.until(lambda: worker.runs)
-        ending = asyncio.ensure_future(rig.process.drain())
+        await rig.wait_until_ready()
+        asking = asyncio.ensure_future(rig.request('/stream/', body='x'))
+        await rigs.wait_until(lambda: worker.runs)
+        ending = asyncio.ensure_future(rig.gateway.drain())
         await asyncio.sleep(0)
-        assert not rig.process.ready
-        late = await rig.ask('/stream/', body='x')
+        assert not rig.gateway.ready
+        late = await rig.request('/stream/', body='x')
         assert late.headers['connection'] == 'close'
         answer = await asking
-        assert answer.whole
+        assert answer.complete
         assert answer.body == whole_stream()
         await ending
 
@@ -490,9 +490,9 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
+        await rig.wait_until_ready()
         assert (await rig.send(data)).status == status
-        assert (await rig.ask('/safe/')).status == 200
+        assert (await rig.request('/safe/')).status == 200
         assert len(rig.workers[0].arrivals) == 1
 
     run_scene(scene)
@@ -503,13 +503,13 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
-        await rig.ready()
+        await rig.wait_until_ready()
         reader, writer = await rig.connect()
-        heads = [rig.head('/safe/') for _ in range(3)]
+        heads = [rig.request_head('/safe/') for _ in range(3)]
         writer.write(b''.join(head for _, head in heads))
         text = b''
         while text.count(b'answer of w-1') < 3:
-            text += await asyncio.wait_for(reader.read(4096), rigs.WAIT_S)
+            text += await asyncio.wait_for(reader.read(4096), rigs.TIMEOUT_S)
         order = [text.index(attempt.encode()) for attempt, _ in heads]
         assert order == sorted(order)
         writer.close()
@@ -536,12 +536,12 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await add_two_workers(rig, endless_event, endless_event)
-        answer = await rig.ask('/stream/')
+        answer = await rig.request('/stream/')
         assert answer.status == 200
-        assert not answer.whole
+        assert not answer.complete
         assert run_count(rig) == 1
         # The size limit must end the stream, not the route's timeout.
-        metrics = rig.process._core.metrics.text().decode()
+        metrics = rig.gateway._core.metrics.text().decode()
         assert (
             'aspenfold_broken_streams_total{label="oversized"} 1.0' in metrics
         )
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -38,7 +38,7 @@
         'spare': 4,
     }
     services = [{'name': 'plain'}, {'name': 'model', 'engine': engine}]
-    return rigs.plan(services=services)
+    return rigs.make_plan(services=services)
 
 
 async def add_ranks(rig: rigs.Rig, group: group_module.Group) -> None:
@@ -58,9 +58,9 @@
 ) -> tuple[workers.Worker, outage_module.Outage]:
     """Add a group that was unavailable for most of the usual outage."""
     worker = await rig.add_worker('w-1', workers.group_down, 'model')
-    await rig.ready()
-    assert (await rig.ask('/model/')).status == 503
-    outage = rig.process.outage('model')
+    await rig.wait_until_ready()
+    assert (await rig.request('/model/')).status == 503
+    outage = rig.gateway.outage('model')
     assert outage.began_at is not None
     outage.began_at -= 4 * rigs.SECOND
     return worker, outage
@@ -71,16 +71,16 @@
 
     async def run() -> None:
         group = SlowRelease(size=RANKS, rng=random.Random(1))
-        async with rigs.running(plan()) as rig:
+        async with rigs.running_rig(plan()) as rig:
             await add_ranks(rig, group)
             passing = asyncio.ensure_future(group.run())
             holder = group.world.ranks[0]
-            await rigs.until(lambda: holder.held is not None)
+            await rigs.wait_until(lambda: holder.held_pass is not None)
             rig.store.trouble = rig.store.trouble.RESET
-            await rig.process.drain()
-            assert holder.held is None
-            before = group.world.passes
-            await rigs.until(lambda: group.world.passes > before + 3)
+            await rig.gateway.drain()
+            assert holder.held_pass is None
+            before = group.world.pass_count
+            await rigs.wait_until(lambda: group.world.pass_count > before + 3)
             assert group.violation is None
             passing.cancel()
             group.stop()
@@ -92,18 +92,18 @@
     """The recovery is detected by another request; both must be served."""
 
     async def run() -> None:
-        async with rigs.running() as rig:
+        async with rigs.running_rig() as rig:
             worker, outage = await unavailable_group(rig)
             waiting = asyncio.ensure_future(
-                rig.ask('/model/', **rigs.time_left(3.0))
+                rig.request('/model/', **rigs.deadline_header(3.0))
             )
             await asyncio.sleep(0.1)
             assert not waiting.done()
             worker.script = workers.stream
-            assert (await rig.ask('/model/')).status == 200
+            assert (await rig.request('/model/')).status == 200
             answer = await waiting
             assert answer.status == 200
-            assert answer.whole
+            assert answer.complete
             assert not outage.is_ongoing
 
     asyncio.run(run())
@@ -113,9 +113,9 @@
     """The caller must get it before it gives up, and nothing may run."""
 
     async def run() -> None:
-        async with rigs.running() as rig:
+        async with rigs.running_rig() as rig:
             worker, _ = await unavailable_group(rig)
-            answer = await rig.ask('/model/', **rigs.time_left(3.0))
+            answer = await rig.request('/model/', **rigs.deadline_header(3.0))
             assert answer.status == 503
             assert 'retry-after' in answer.headers
             assert worker.runs.total() == 0
@@ -127,23 +127,25 @@
     """All continue at once, so the budget must be checked after the wait."""
 
     async def run() -> None:
-        route = rigs.route(
+        route = rigs.make_route(
             '/model/', 'streaming', service='model', timeout_ms=8000
         )
-        async with rigs.running(rigs.plan(routes=[route])) as rig:
+        async with rigs.running_rig(rigs.make_plan(routes=[route])) as rig:
             worker = await rig.add_worker('w-1', workers.group_down, 'model')
-            await rig.ready()
+            await rig.wait_until_ready()
             waiting = [
-                asyncio.ensure_future(rig.ask('/model/')) for _ in range(4)
+                asyncio.ensure_future(rig.request('/model/')) for _ in range(4)
             ]
-            await rigs.until(lambda: rigs.asked(worker, '/model/') == 4)
+            await rigs.wait_until(
+                lambda: rigs.count_requests(worker, '/model/') == 4
+            )
             await asyncio.sleep(0.1)
             assert not any(task.done() for task in waiting)
             worker.script = workers.stream
-            assert (await rig.ask('/model/')).status == 200
+            assert (await rig.request('/model/')).status == 200
             answers = [await task for task in waiting]
             # The budget of a new process allows one retry.
-            assert rigs.asked(worker, '/model/') == 4 + 1 + 1
+            assert rigs.count_requests(worker, '/model/') == 4 + 1 + 1
             statuses = sorted(answer.status for answer in answers)
             assert statuses == [200, 503, 503, 503]
 
@@ -154,19 +156,19 @@
     """All requests must be served by the available group."""
 
     async def run() -> None:
-        async with rigs.running() as rig:
+        async with rigs.running_rig() as rig:
             down = await rig.add_worker('w-1', workers.group_down, 'model')
             await rig.add_worker('w-2', workers.stream, 'model')
-            await rig.ready()
-            known = rig.process._core.directory
+            await rig.wait_until_ready()
+            known = rig.gateway._core.directory
             for name, group in (('w-1', 'g-1'), ('w-2', 'g-2')):
                 endpoint = known.get(name)
                 assert endpoint is not None
                 endpoint.group = group
-            answers = [await rig.ask('/model/') for _ in range(20)]
+            answers = [await rig.request('/model/') for _ in range(20)]
             assert {answer.status for answer in answers} == {200}
-            assert rigs.asked(down, '/model/') == 1
-            assert rig.process.outage('model', 'g-1').is_ongoing
-            assert not rig.process.outage('model', 'g-2').is_ongoing
+            assert rigs.count_requests(down, '/model/') == 1
+            assert rig.gateway.outage('model', 'g-1').is_ongoing
+            assert not rig.gateway.outage('model', 'g-2').is_ongoing
 
     asyncio.run(run())
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -55,14 +55,14 @@
     """Ask an address of the process."""
     reader, writer = await asyncio.open_connection(ADDRESS, port)
     writer.write(f'GET {path} HTTP/1.1\r\nHost: x\r\n\r\n'.encode())
-    answer = await rigs.read_answer(reader)
+    answer = await rigs.read_response(reader)
     writer.close()
     return answer.status, answer.body
 
 
 async def wait_ready(port: int) -> None:
     """Wait until the process says that it can serve."""
-    async with asyncio.timeout(rigs.WAIT_S):
+    async with asyncio.timeout(rigs.TIMEOUT_S):
         while True:
             try:
                 if (await get(port, '/api/ready'))[0] == 200:
@@ -74,7 +74,7 @@
 
 async def repeat_sigterm(process: asyncio.subprocess.Process) -> None:
     """Ask it to end again and again, until it has."""
-    target = signals.Target(pid=process.pid)
+    target = signals.ProcessHandle(pid=process.pid)
     while process.returncode is None:
         target.send(signal.SIGTERM)
         await asyncio.sleep(0.001)
@@ -85,10 +85,10 @@
     """Run the program through a stream and both signals, to its end."""
     rig = rigs.Rig()
     await rig.store.start()
-    await rig.configure(rigs.plan())
+    await rig.write_plan(rigs.make_plan())
     worker = await rig.add_worker('w-1', workers.stream)
     worker.gap_s = 0.05
-    ports = free_ports.distinct(ADDRESS, 4)
+    ports = free_ports.find_ports(ADDRESS, 4)
     callers, health, first, last = ports
     path = tmp_path / 'settings.json'
     path.write_text(
@@ -123,15 +123,17 @@
             assert f'aspenfold_{name}'.encode() in text, name
         process.send_signal(signal.SIGHUP)
         reader, writer = await asyncio.open_connection(ADDRESS, callers)
-        writer.write(rig.head('/stream/')[1])
-        await rigs.until(lambda: worker.runs)
+        writer.write(rig.request_head('/stream/')[1])
+        await rigs.wait_until(lambda: worker.runs)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
         again = asyncio.ensure_future(repeat_sigterm(process))
-        answer = await rigs.read_answer(reader)
-        assert answer.whole
+        answer = await rigs.read_response(reader)
+        assert answer.complete
         assert answer.body.count(b'data:') == worker.events
-        output, _ = await asyncio.wait_for(process.communicate(), rigs.WAIT_S)
+        output, _ = await asyncio.wait_for(
+            process.communicate(), rigs.TIMEOUT_S
+        )
         await again
         return process.returncode or 0, output.decode()
     finally:
@@ -188,7 +190,7 @@
 ) -> None:
     """A port that another has is a coded error, not a traceback."""
     names = ('peer_port', 'callers', 'health')
-    ports = dict(zip(names, free_ports.distinct(ADDRESS, 3), strict=True))
+    ports = dict(zip(names, free_ports.find_ports(ADDRESS, 3), strict=True))
     path = tmp_path / 'settings.json'
     path.write_text(
         json.dumps(
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -28,16 +28,16 @@
     """Yield two gateways, of which the second follows the first."""
     rig = rigs.Rig()
     await rig.store.start()
-    await rig.configure(rigs.plan())
+    await rig.write_plan(rigs.make_plan())
     await rig.add_worker('w-1')
     pair = GatewayPair(rig=rig, processes=[], links=[])
-    (port,) = free_ports.distinct(f'{NETWORK}.1', 1)
+    (port,) = free_ports.find_ports(f'{NETWORK}.1', 1)
     try:
         for number in (1, 2):
             link = links.Link(host=rigs.LOOPBACK, port=rig.store.port)
             await link.start()
             pair.links.append(link)
-            process = rigs.process(
+            process = rigs.make_gateway(
                 name=f'gateway-{number}',
                 address=f'{NETWORK}.{number}',
                 peer_port=port,
@@ -45,8 +45,8 @@
             )
             pair.processes.append(process)
             await process.start()
-        await rigs.until(lambda: all(p.ready for p in pair.processes))
-        await rigs.until(lambda: pair.processes[0].followers == 1)
+        await rigs.wait_until(lambda: all(p.ready for p in pair.processes))
+        await rigs.wait_until(lambda: pair.processes[0].followers == 1)
         yield pair
     finally:
         for process in pair.processes:
@@ -65,16 +65,16 @@
         async with gateway_pair() as pair:
             second = pair.processes[1]
             pair.links[1].begin(links.Trouble.SILENT)
-            await pair.rig.configure(rigs.plan(9))
-            await rigs.until(lambda: second.plan_version == 9)
+            await pair.rig.write_plan(rigs.make_plan(9))
+            await rigs.wait_until(lambda: second.plan_version == 9)
             worker = await pair.rig.add_worker('w-2')
-            await rigs.until(lambda: second.routable('plain') == 2)
+            await rigs.wait_until(lambda: second.routable('plain') == 2)
             await pair.rig.store.put(
                 endpoint_records.TOPIC,
                 'w-2',
                 worker.entry('plain', 'draining'),
             )
-            await rigs.until(lambda: second.routable('plain') == 1)
+            await rigs.wait_until(lambda: second.routable('plain') == 1)
 
     asyncio.run(run())
 
@@ -86,12 +86,12 @@
         async with gateway_pair() as pair:
             first, second = pair.processes
             pair.links[0].begin(links.Trouble.SILENT)
-            await pair.rig.configure(rigs.plan(4))
-            await rigs.until(lambda: second.plan_version == 4)
-            await rigs.until(lambda: first.plan_version == 4)
+            await pair.rig.write_plan(rigs.make_plan(4))
+            await rigs.wait_until(lambda: second.plan_version == 4)
+            await rigs.wait_until(lambda: first.plan_version == 4)
             await first.abort()
-            await pair.rig.configure(rigs.plan(6))
-            await rigs.until(lambda: second.plan_version == 6)
+            await pair.rig.write_plan(rigs.make_plan(6))
+            await rigs.wait_until(lambda: second.plan_version == 6)
 
     asyncio.run(run())
 
@@ -120,7 +120,7 @@
                 f'{NETWORK}.1', port, local_addr=(f'{NETWORK}.77', 0)
             )
             writer.write(b'GET /news HTTP/1.1\r\nHost: x\r\n\r\n')
-            answer = await rigs.read_answer(reader)
+            answer = await rigs.read_response(reader)
             writer.close()
             assert answer.status == 404
 
--- a/tests/functional/test_plan_program.py
+++ b/tests/functional/test_plan_program.py
@@ -38,12 +38,12 @@
         rig = rigs.Rig()
         await rig.store.start()
         port = rig.store.port
-        await rig.configure(rigs.plan(3))
-        updated = rigs.plan(5)
+        await rig.write_plan(rigs.make_plan(3))
+        updated = rigs.make_plan(5)
         routes = updated['routes']
         assert isinstance(routes, list)
-        updated['routes'] = [*routes, rigs.route('/new/', 'safe')]
-        await rig.configure(updated)
+        updated['routes'] = [*routes, rigs.make_route('/new/', 'safe')]
+        await rig.write_plan(updated)
         worker = await rig.add_worker('w-1')
         await rig.store.put(
             endpoint_records.TOPIC, 'w-1', worker.entry('plain', 'draining')
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -40,13 +40,13 @@
     """P4: the till asks another entry; the job runs once."""
     for name in PLAINS:
         deployment.fault(name, delay_ms=700)
-    first = client.later(client.job, 0, 'sale-1')
-    deployment.wait_for('the job', lambda: bool(client.runs('/job')))
+    first = client.submit(client.job, 0, 'sale-1')
+    deployment.wait_for('the job', lambda: bool(client.executions('/job')))
     deployment.children[deployment.entries()[0]].kill()
     second = client.job(1, 'sale-1')
     assert first.result().status == 0
     assert second.status == 200
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_keyed_job_with_a_killed_agent_is_unknown_for_good(
@@ -55,15 +55,15 @@
     """P4, P3: the key's memory is lost, so nobody runs it again."""
     for name in PLAINS:
         deployment.fault(name, delay_ms=700)
-    first = client.later(client.job, 0, 'sale-2')
-    deployment.wait_for('the job', lambda: bool(client.runs('/job')))
+    first = client.submit(client.job, 0, 'sale-2')
+    deployment.wait_for('the job', lambda: bool(client.executions('/job')))
     (ran,) = busy(deployment, PLAINS)
     zone = ran.removeprefix('plain-till-')
     agent = f'till-{zone}-0'
     deployment.restart_agent(agent)
     assert first.result().outcome == 'unknown'
     assert client.job(1, 'sale-2').outcome == 'unknown'
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_frozen_agent_answers_both_submissions_once_thawed(
@@ -72,17 +72,17 @@
     """P4, P2: a pause delays the one answer and doubles nothing."""
     for name in PLAINS:
         deployment.fault(name, delay_ms=400)
-    first = client.later(client.job, 0, 'sale-3')
-    deployment.wait_for('the job', lambda: bool(client.runs('/job')))
+    first = client.submit(client.job, 0, 'sale-3')
+    deployment.wait_for('the job', lambda: bool(client.executions('/job')))
     (ran,) = busy(deployment, PLAINS)
     agent = f'till-{ran.removeprefix("plain-till-")}-0'
     deployment.children[agent].freeze()
-    second = client.later(client.job, 1, 'sale-3')
+    second = client.submit(client.job, 1, 'sale-3')
     deployment.wait_for('the claim', lambda: claimed(deployment))
     deployment.children[agent].thaw()
     assert first.result().status == second.result().status == 200
     assert first.result().body == second.result().body
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def claimed(deployment: launcher.Deployment) -> bool:
@@ -115,7 +115,7 @@
     assert refused.status == 503
     assert refused.outcome == 'unknown'
     assert 'retry-after' in refused.headers
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
     status = deployment.entry_status(deployment.entries()[0])
     assert status is not None
     assert status['version'] > 0
@@ -123,7 +123,7 @@
     deployment.wait_for(
         'the log', lambda: client.job(0, 'sale-4').status == 200
     )
-    assert len(client.runs('/job')) == 2
+    assert len(client.executions('/job')) == 2
 
 
 def test_lost_append_answers(
@@ -143,7 +143,7 @@
     assert result.returncode == 0, result.stderr
     history = json.loads(deployment.operate('history', '--json').stdout)
     assert len(history) == 2
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_lost_endpoint_answer_is_unknown(
@@ -154,14 +154,14 @@
         deployment.fault(name, lose_answers=2)
     assert client.job(0, 'sale-6').outcome == 'unknown'
     assert client.job(1, 'sale-6').outcome == 'unknown'
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_stream_resumes_after_a_killed_agent(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """P2, P1: the other rank goes on, once the agent is replaced."""
-    stream = client.later(client.stream, 0, 'Credo', 300)
+    stream = client.submit(client.stream, 0, 'Credo', 300)
     deployment.wait_for('the stream', lambda: bool(streaming(deployment)))
     (name,) = streaming(deployment)
     deployment.restart_agent(name)
@@ -214,7 +214,7 @@
 ) -> None:
     """P6, P5: SIGTERM at the agent and at the entry, under streams."""
     streams = [
-        client.later(client.stream, 0, f'Agnus {n}', 300) for n in range(4)
+        client.submit(client.stream, 0, f'Agnus {n}', 300) for n in range(4)
     ]
     deployment.wait_for('streams', lambda: len(streaming(deployment)) == 2)
     entry = deployment.children[deployment.entries()[0]]
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -70,7 +70,7 @@
         group = group_module.Group(size=1, rng=random.Random(1))
         rank = group_module.RankWorker('r', group=group, rank=0)
         await rank.start()
-        (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
+        (port,) = free_ports.find_ports(rigs.LOOPBACK, 1)
         running_agent = agent(port, rank)
         await running_agent.start()
         for target in (engine_module.COUNTS_TARGET, engine_module.MAP_TARGET):
@@ -96,7 +96,7 @@
         )
         answer = await client.order(rigs.LOOPBACK, port, order)
         assert answer is rank_protocol.Answer.ACCEPTED
-        assert group.world.ranks[0].held == order.step
+        assert group.world.ranks[0].held_pass == order.step
         await running_agent.drain()
         await rank.stop()
 
@@ -110,7 +110,7 @@
         group = group_module.Group(size=1, rng=random.Random(1))
         rank = UnresponsiveRank('r', group=group, rank=0)
         await rank.start()
-        (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
+        (port,) = free_ports.find_ports(rigs.LOOPBACK, 1)
         running_agent = agent(port, rank)
         await running_agent.start()
         with pytest.raises(ports.EngineUnavailable):
@@ -140,18 +140,18 @@
         group = group_module.Group(size=1, rng=random.Random(1))
         rank = SlowRank('r', group=group, rank=0)
         await rank.start()
-        (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
+        (port,) = free_ports.find_ports(rigs.LOOPBACK, 1)
         running_agent = agent(port, rank)
         await running_agent.start()
         reader, writer = await asyncio.open_connection(rigs.LOOPBACK, port)
         call = asyncio.ensure_future(
             call_agent(port, engine_module.COUNTS_TARGET)
         )
-        await rigs.until(lambda: rank.asked)
+        await rigs.wait_until(lambda: rank.asked)
         await running_agent.drain()
         status, _ = await call
         assert status == 200
-        assert await asyncio.wait_for(reader.read(), rigs.WAIT_S) == b''
+        assert await asyncio.wait_for(reader.read(), rigs.TIMEOUT_S) == b''
         writer.close()
         with pytest.raises(ports.EngineUnavailable):
             await call_agent(port, engine_module.COUNTS_TARGET)
@@ -167,7 +167,7 @@
         group = group_module.Group(size=1, rng=random.Random(1))
         rank = group_module.RankWorker('r', group=group, rank=0)
         await rank.start()
-        first, last = sorted(free_ports.distinct(rigs.LOOPBACK, 2))
+        first, last = sorted(free_ports.find_ports(rigs.LOOPBACK, 2))
         path = tmp_path / 'settings.json'
         file = {
             'node': 'host-1',
@@ -183,7 +183,7 @@
             stdout=subprocess.PIPE,
         )
         try:
-            async with asyncio.timeout(rigs.WAIT_S):
+            async with asyncio.timeout(rigs.TIMEOUT_S):
                 while True:
                     try:
                         await call_agent(first, engine_module.COUNTS_TARGET)
@@ -194,7 +194,7 @@
             await call_agent(first, engine_module.COUNTS_TARGET)
             process.send_signal(signal.SIGTERM)
             output, _ = await asyncio.wait_for(
-                process.communicate(), rigs.WAIT_S
+                process.communicate(), rigs.TIMEOUT_S
             )
             return process.returncode or 0, output.decode()
         finally:
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -67,11 +67,11 @@
             sent_at=time.monotonic(),
         )
         found.ended_at = found.sent_at
-        found.answer = promises.callers.gateway_rig.Answer(
+        found.answer = promises.callers.gateway_rig.Response(
             status=status,
             headers={promises.platform_worker.SEAL.lower(): 's'},
             body=body,
-            whole=whole,
+            complete=whole,
         )
         self.ledger.add(found)
         return found
@@ -121,14 +121,14 @@
             name='g',
             host='127.0.0.1',
             folder=tmp_path,
-            internal=free_ports.pair(['127.0.0.1']),
+            internal=free_ports.find_port_pair(['127.0.0.1']),
         )
         log = tmp_path / 'g-1.log'
         log.write_text('')
         found = system_module.Incarnation(
             gateway='g',
             process=process,
-            target=system_module.signals.Target(pid=process.pid),
+            target=system_module.signals.ProcessHandle(pid=process.pid),
             log=log,
         )
         gateway.incarnations.append(found)
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -192,8 +192,10 @@
         old = state.state.document
         for name in ('mine', 'yours'):
             self._jobs += 1
-            new = operators.named(fleets.document(), f'{name}-{self._jobs}')
-            change = operators.change(
+            new = operators.with_name(
+                fleets.document(), f'{name}-{self._jobs}'
+            )
+            change = operators.config_change(
                 name, self._jobs, state.state.version, old, new, self.sim.now
             )
             self.world.log.append(records.FLEET_STREAM, change)
--- a/tests/lib/deployment_client.py
+++ b/tests/lib/deployment_client.py
@@ -1,4 +1,4 @@
-"""A caller of a deployment of real processes."""
+"""An HTTP client for a deployment of real processes."""
 
 import concurrent.futures
 import dataclasses
@@ -14,8 +14,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Answer:
-    """What a caller got; status 0 when the connection broke."""
+class Response:
+    """A response; its status is 0 if the connection broke."""
 
     status: int
     outcome: str
@@ -24,11 +24,11 @@
 
     @property
     def code(self) -> int:
-        """The numbered code of an error, 0 for none."""
+        """The result code of an error, 0 for none."""
         return int(self.headers.get('aspenfold-code', '0'))
 
     def text(self) -> str:
-        """Return a stream's text; it must be whole."""
+        """Return the text of a stream, which must be complete."""
         events = self.body.decode().strip().split('\n\n')
         events = [e for e in events if not e.startswith(':')]
         assert events[-1] == f'id: {len(events) - 1}\ndata: [DONE]', events[-1]
@@ -37,7 +37,7 @@
 
 
 class DeploymentClient:
-    """Sends requests to a deployment's entries, at the same time too."""
+    """Sends requests to a deployment's entries, also concurrently."""
 
     def __init__(self, deployment: launcher.Deployment) -> None:
         self.deployment = deployment
@@ -51,38 +51,38 @@
         *,
         key: str = '',
         **headers: str,
-    ) -> Answer:
+    ) -> Response:
         """Send one request and return its answer."""
         name = self.deployment.entries()[entry]
         url = self.deployment.children[name].url + path
-        sent = {**HEADERS, **headers}
+        sent_headers = {**HEADERS, **headers}
         if key:
-            sent['Idempotency-Key'] = key
+            sent_headers['Idempotency-Key'] = key
         try:
-            answer = self.deployment.call('POST', url, body, sent)
+            response = self.deployment.call('POST', url, body, sent_headers)
         except urllib3.exceptions.HTTPError:
-            return Answer(status=0, outcome='', body=b'', headers={})
-        lower = {k.lower(): v for k, v in answer.headers.items()}
-        return Answer(
-            status=answer.status,
-            outcome=lower.get('aspenfold-outcome', ''),
-            body=answer.data,
-            headers=lower,
+            return Response(status=0, outcome='', body=b'', headers={})
+        response_headers = {k.lower(): v for k, v in response.headers.items()}
+        return Response(
+            status=response.status,
+            outcome=response_headers.get('aspenfold-outcome', ''),
+            body=response.data,
+            headers=response_headers,
         )
 
     def job(
         self, entry: int, key: str, number: int = 1, **headers: str
-    ) -> Answer:
-        """Ask for a call that must not be repeated."""
+    ) -> Response:
+        """Send a request that must run at most once."""
         body = {'job': number}
         return self.post(entry, '/services/till/job', body, key=key, **headers)
 
-    def ping(self, entry: int) -> Answer:
-        """Send an interactive call."""
+    def ping(self, entry: int) -> Response:
+        """Send an interactive request."""
         return self.post(entry, '/services/till/ping', {})
 
-    def stream(self, entry: int, prompt: str, tokens: int) -> Answer:
-        """Stream a generation."""
+    def stream(self, entry: int, prompt: str, tokens: int) -> Response:
+        """Request a completion as a stream of tokens."""
         return self.post(
             entry,
             '/v1/completions',
@@ -94,14 +94,14 @@
             },
         )
 
-    def later(
-        self, call: typing.Callable[..., Answer], *arguments: object
-    ) -> concurrent.futures.Future[Answer]:
-        """Run a call in the background."""
+    def submit(
+        self, call: typing.Callable[..., Response], *arguments: object
+    ) -> concurrent.futures.Future[Response]:
+        """Run ``call(*arguments)`` in a thread."""
         return self._executor.submit(call, *arguments)
 
-    def runs(self, operation: str) -> list[dict[str, typing.Any]]:
-        """Return all executions of a plain operation."""
+    def executions(self, operation: str) -> list[dict[str, typing.Any]]:
+        """Return all executions of an operation by plain workers."""
         return [
             run
             for name in self.deployment.children
--- a/tests/lib/fake_log.py
+++ b/tests/lib/fake_log.py
@@ -1,4 +1,4 @@
-"""The log service's semantics in memory, with its faults."""
+"""An in-memory log service for tests."""
 
 import collections
 import typing
@@ -8,7 +8,10 @@
 
 
 class FakeLog:
-    """Streams of records; ``down`` refuses, ``trim`` forgets."""
+    """Streams of records.
+
+    Callers must check ``down``: the log itself serves them anyway.
+    """
 
     def __init__(self) -> None:
         self.down = False
@@ -26,21 +29,21 @@
 
     def read(self, stream: str, start: int, limit: int = 500) -> reader.Page:
         """Return a page from offset ``start`` on."""
-        first = self._first[stream]
+        first_offset = self._first[stream]
         bodies = self._bodies[stream]
-        begin = max(start, first)
-        rows = bodies[begin - first :][:limit]
+        begin_offset = max(start, first_offset)
+        rows = bodies[begin_offset - first_offset :][:limit]
         return reader.Page(
             records=[
-                reader.LogRecord(offset=begin + i, body=body)
+                reader.LogRecord(offset=begin_offset + i, body=body)
                 for i, body in enumerate(rows)
             ],
-            first_offset=first,
-            next_offset=first + len(bodies),
+            first_offset=first_offset,
+            next_offset=first_offset + len(bodies),
         )
 
     def trim(self, stream: str, keep: int) -> None:
-        """Forget all but the newest ``keep`` records."""
+        """Delete all but the newest ``keep`` records of a stream."""
         bodies = self._bodies[stream]
         excess = max(0, len(bodies) - keep)
         self._first[stream] += excess
--- a/tests/lib/fleets.py
+++ b/tests/lib/fleets.py
@@ -1,4 +1,4 @@
-"""Small fleets for tests."""
+"""A small fleet for tests."""
 
 import hashlib
 import typing
@@ -11,7 +11,10 @@
 
 
 def document(**changes: typing.Any) -> dict[str, typing.Any]:
-    """Return a fleet with a plain and a model service."""
+    """Return a fleet with a plain and a model service, as JSON values.
+
+    ``changes`` replace top-level fields.
+    """
     data = {
         'format': 1,
         'name': 'testing',
--- a/tests/lib/free_ports.py
+++ b/tests/lib/free_ports.py
@@ -1,38 +1,37 @@
-"""Ports that are free, for programs whose settings must name them."""
+"""Finds free ports, for programs whose settings must name a port."""
 
 import contextlib
 import random
 import socket
 
-BELOW_EPHEMERAL = range(10_000, 32_000)
-"""Ports that the kernel gives to nobody by itself."""
+NON_EPHEMERAL_PORTS = range(10_000, 32_000)
+"""Ports below the range from which Linux assigns ports."""
 
 
-def distinct(host: str, count: int) -> list[int]:
-    """Return ports of ``host`` that are free now, each another one.
+def find_ports(host: str, count: int) -> list[int]:
+    """Return ``count`` distinct ports that are free on ``host`` now.
 
-    They are held until all are known: a port that is given back at once
-    may be given out again.
+    All sockets stay open until the end, so that the kernel assigns no
+    port twice.
     """
-    with contextlib.ExitStack() as held:
+    with contextlib.ExitStack() as open_sockets:
         sockets = [
-            held.enter_context(socket.create_server((host, 0)))
+            open_sockets.enter_context(socket.create_server((host, 0)))
             for _ in range(count)
         ]
-        return [int(found.getsockname()[1]) for found in sockets]
+        return [int(listener.getsockname()[1]) for listener in sockets]
 
 
-def pair(hosts: list[str]) -> int:
-    """Return a port that is free on all ``hosts``, and the next one too."""
+def find_port_pair(hosts: list[str]) -> int:
+    """Return a port that, like its successor, is free on all ``hosts``."""
     while True:
-        first = random.SystemRandom().choice(BELOW_EPHEMERAL)
-        with contextlib.ExitStack() as held:
+        first = random.SystemRandom().choice(NON_EPHEMERAL_PORTS)
+        with contextlib.ExitStack() as open_sockets:
             try:
                 for host in hosts:
                     for port in (first, first + 1):
-                        found = socket.create_server((host, port))
-                        held.enter_context(found)
+                        listener = socket.create_server((host, port))
+                        open_sockets.enter_context(listener)
             except OSError:
-                # Taken on one of them: draw again.
                 continue
             return first
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -1,4 +1,7 @@
-"""A gateway with real sockets between a client and stand-ins."""
+"""Runs a gateway in the test process, with simulated services around it.
+
+The gateway, its client, the store and the endpoints use real sockets.
+"""
 
 import asyncio
 from collections import abc
@@ -23,23 +26,24 @@
 HOST = 'shop.example'
 KEY = 'key-of-one'
 LOOPBACK = '127.0.0.1'
-WAIT_S = 10.0
+TIMEOUT_S = 10.0
+"""Limit of each wait, so that a failing test ends."""
+
 SECOND = datetime.timedelta(seconds=1)
-"""Longest wait on a condition; far over what any takes."""
 
 
 @dataclasses.dataclass
-class Answer:
-    """What a client got; ``whole`` is False if it ended early."""
+class Response:
+    """A response; ``complete`` is False if the connection ended early."""
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
 
 
-def route(path: str, kind: str, **more: object) -> dict[str, object]:
-    """Return a route of the configuration."""
+def make_route(path: str, kind: str, **more: object) -> dict[str, object]:
+    """Return a route of a plan; ``more`` sets further fields."""
     return {
         'name': path.strip('/'),
         'host': HOST,
@@ -53,19 +57,19 @@
     }
 
 
-def plan(version: int = 1, **more: object) -> dict[str, object]:
-    """Return a configuration with a route of each kind."""
+def make_plan(version: int = 1, **more: object) -> dict[str, object]:
+    """Return a plan with a route of each kind, as the store holds it."""
     return {
         'version': version,
         'routes': [
-            route('/safe/', 'safe'),
-            route('/unsafe/', 'unsafe'),
-            route('/once/', 'unsafe', max_attempts=1),
-            route('/stream/', 'streaming', resume_streams=True),
-            route('/song/', 'streaming'),
-            route('/open/', 'safe', allow_anonymous=True),
-            route('/short/', 'safe', timeout_ms=300),
-            route('/model/', 'streaming', service='model'),
+            make_route('/safe/', 'safe'),
+            make_route('/unsafe/', 'unsafe'),
+            make_route('/once/', 'unsafe', max_attempts=1),
+            make_route('/stream/', 'streaming', resume_streams=True),
+            make_route('/song/', 'streaming'),
+            make_route('/open/', 'safe', allow_anonymous=True),
+            make_route('/short/', 'safe', timeout_ms=300),
+            make_route('/model/', 'streaming', service='model'),
         ],
         'services': [
             {'name': 'plain'},
@@ -85,7 +89,7 @@
     }
 
 
-def process(
+def make_gateway(
     *,
     store_port: int,
     name: str = 'gateway-1',
@@ -93,17 +97,17 @@
     peer_port: int = 0,
     agent_port: int = 0,
 ) -> gateway.GatewayProcess:
-    """Return a gateway that is not started yet."""
-    anywhere = settings.TcpAddress(host=address, port=0)
+    """Return a gateway, not started, that reads a store on loopback."""
+    any_port = settings.TcpAddress(host=address, port=0)
     cfg = settings.GatewaySettings(
         name=name,
         availability_zone='zone-a',
         address=address,
         peer_port=peer_port,
         agent_port=agent_port,
-        callers=anywhere,
-        health=anywhere,
-        metrics=anywhere,
+        callers=any_port,
+        health=any_port,
+        metrics=any_port,
         store=settings.TcpAddress(host=LOOPBACK, port=store_port),
         grace_s=2.0,
         retry_ratio=0.2,
@@ -118,12 +122,12 @@
 
 
 class Rig:
-    """Holds the store, the endpoints and the gateway of one test."""
+    """The store, the endpoints and the gateway of one test."""
 
     def __init__(self) -> None:
         self.store = metadata_store.MetadataStore()
         self.workers: list[platform_worker.Worker] = []
-        self.process: gateway.GatewayProcess
+        self.gateway: gateway.GatewayProcess
         self._ids = itertools.count(1)
 
     async def add_worker(
@@ -132,7 +136,7 @@
         script: platform_worker.Script = platform_worker.whole,
         service: str = 'plain',
     ) -> platform_worker.Worker:
-        """Start an endpoint and list it."""
+        """Start an endpoint and write its record to the store."""
         worker = platform_worker.Worker(name)
         worker.script = script
         await worker.start()
@@ -142,25 +146,27 @@
         )
         return worker
 
-    async def configure(self, value: dict[str, object]) -> None:
-        """Write a configuration."""
+    async def write_plan(self, value: dict[str, object]) -> None:
+        """Write a plan to the store."""
         await self.store.put(config.TOPIC, config.KEY, value)
 
     async def start(self) -> None:
-        """Start the gateway."""
-        self.process = process(store_port=self.store.port)
-        await self.process.start()
+        """Create and start the gateway."""
+        self.gateway = make_gateway(store_port=self.store.port)
+        await self.gateway.start()
 
-    async def ready(self) -> None:
-        """Wait until the gateway says that it can serve."""
-        await until(lambda: self.process.ready)
+    async def wait_until_ready(self) -> None:
+        """Wait until the gateway reports that it can serve."""
+        await wait_until(lambda: self.gateway.ready)
 
-    # -- as a client -----------------------------------------------------
-
-    def head(
+    def request_head(
         self, path: str, key: str = KEY, **more: str
     ) -> tuple[str, bytes]:
-        """Return a new attempt's id and the head of its request."""
+        """Return a new attempt's id and the head of its request.
+
+        ``more`` holds headers, with ``_`` for ``-``; a ``body`` sets the
+        method and the length only.
+        """
         attempt = f'attempt-{next(self._ids)}'
         lines = [
             f'{"POST" if "body" in more else "GET"} {path} HTTP/1.1',
@@ -174,86 +180,93 @@
         lines += [f'{n.replace("_", "-")}: {v}' for n, v in more.items()]
         return attempt, '\r\n'.join([*lines, '', '']).encode()
 
-    async def ask(self, path: str, key: str = KEY, **more: str) -> Answer:
-        """Send a request on a connection of its own."""
+    async def request(
+        self, path: str, key: str = KEY, **more: str
+    ) -> Response:
+        """Send a request on a new connection and return the response."""
         body = more.get('body', '').encode()
-        _, head = self.head(path, key, **more)
+        _, head = self.request_head(path, key, **more)
         return await self.send(head + body)
 
-    async def send(self, data: bytes) -> Answer:
-        """Send raw bytes and read one answer."""
+    async def send(self, data: bytes) -> Response:
+        """Send raw bytes on a new connection and return the response."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
-            return await read_answer(reader)
+            return await read_response(reader)
         finally:
             writer.close()
 
     async def connect(
         self,
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Open a connection as a client."""
-        return await asyncio.open_connection(LOOPBACK, self.process.port)
+        """Open a client connection to the gateway."""
+        return await asyncio.open_connection(LOOPBACK, self.gateway.port)
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
-    """Read one answer, whole or broken off."""
+async def read_response(reader: asyncio.StreamReader) -> Response:
+    """Read one response until it is complete or the connection ends."""
     parser = h11.Connection(h11.CLIENT)
     parser.send(h11.Request(method='GET', target='/', headers=[('host', 'x')]))
     parser.send(h11.EndOfMessage())
-    answer = Answer()
+    response = Response()
     with contextlib.suppress(ConnectionError, h11.RemoteProtocolError):
-        async with asyncio.timeout(WAIT_S):
-            await _read(reader, parser, answer)
-    return answer
+        async with asyncio.timeout(TIMEOUT_S):
+            await _read(reader, parser, response)
+    return response
 
 
 async def _read(
-    reader: asyncio.StreamReader, parser: h11.Connection, answer: Answer
+    reader: asyncio.StreamReader, parser: h11.Connection, response: Response
 ) -> None:
-    while not answer.whole:
+    while not response.complete:
         event: typing.Any = parser.next_event()
         if event is h11.NEED_DATA:
             parser.receive_data(await reader.read(65536))
         elif isinstance(event, h11.Response):
-            answer.status = event.status_code
-            answer.headers = {n.decode(): v.decode() for n, v in event.headers}
+            response.status = event.status_code
+            response.headers = {
+                n.decode(): v.decode() for n, v in event.headers
+            }
         elif isinstance(event, h11.Data):
-            answer.body += bytes(event.data)
+            response.body += bytes(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            answer.whole = True
+            response.complete = True
         else:
             return
 
 
-def time_left(seconds: float) -> dict[str, str]:
-    """Return the header that tells how long a caller still waits."""
+def deadline_header(seconds: float) -> dict[str, str]:
+    """Return the header with the time that a caller still waits."""
     return {'X_Aspenfold_Deadline_Remaining_Ms': f'{seconds * 1000:.0f}'}
 
 
-def asked(worker: platform_worker.Worker, path: str) -> int:
-    """Return how many requests of callers came there.
+def count_requests(worker: platform_worker.Worker, path: str) -> int:
+    """Return how many requests for ``path`` a worker received.
 
-    A leader asks ranks for their reports, too, some time after a start.
+    The path excludes the reports that a group's leader reads.
     """
     return sum(request.target == path for request in worker.arrivals)
 
 
-async def until(condition: abc.Callable[[], object]) -> None:
-    """Wait on a condition."""
-    async with asyncio.timeout(WAIT_S):
+async def wait_until(condition: abc.Callable[[], object]) -> None:
+    """Wait until ``condition`` is true.
+
+    Raises TimeoutError if that takes too long.
+    """
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def running_rig(
     value: dict[str, object] | None = None,
 ) -> abc.AsyncIterator[Rig]:
-    """Give a rig whose gateway runs; it has no endpoints yet."""
+    """Yield a rig with a running gateway and no endpoints."""
     rig = Rig()
     await rig.store.start()
-    await rig.configure(value or plan())
+    await rig.write_plan(value or make_plan())
     try:
         await rig.start()
         yield rig
@@ -262,8 +275,8 @@
 
 
 async def close(rig: Rig) -> None:
-    """Stop everything."""
-    await rig.process.abort()
+    """Stop the gateway, the endpoints and the store."""
+    await rig.gateway.abort()
     for worker in rig.workers:
         await worker.stop()
     await rig.store.stop()
--- a/tests/lib/operators.py
+++ b/tests/lib/operators.py
@@ -1,4 +1,4 @@
-"""Operators' true commands against the log's semantics in memory."""
+"""Operators' clients on an in-memory log, with faults and changes."""
 
 from collections import abc
 import datetime
@@ -26,54 +26,58 @@
 
 
 class FlakyLog:
-    """The log as one client meets it.
+    """One client's access to the log, with faults.
 
-    ``before_append`` runs just before an append takes effect, which is
-    where a rival's change lands.  ``lose_answers`` appends take effect
-    though they raise; ``fail_appends`` raise without effect.
+    ``before_append`` runs once, just before an append takes effect; a test
+    makes a concurrent change there.  The next ``appends_to_fail`` appends
+    raise without effect.  Then ``answers_to_lose`` appends take effect but
+    raise as well.
     """
 
     def __init__(self, log: fake_log.FakeLog) -> None:
         self.log = log
         self.before_append: abc.Callable[[], None] | None = None
-        self.lose_answers = 0
-        self.fail_appends = 0
+        self.answers_to_lose = 0
+        self.appends_to_fail = 0
 
     def append(self, stream: str, record: records.Record) -> int:
-        """Append, with the faults that are on."""
+        """Append a record, subject to the faults, and return its offset.
+
+        Raises LogUnavailable if the append fails or its answer is lost.
+        """
         self._check()
-        if self.fail_appends:
-            self.fail_appends -= 1
-            raise exceptions.LogUnavailable('refused')
+        if self.appends_to_fail:
+            self.appends_to_fail -= 1
+            raise exceptions.LogUnavailable('append failed')
         if self.before_append is not None:
-            rival, self.before_append = self.before_append, None
-            rival()
+            concurrent_change, self.before_append = self.before_append, None
+            concurrent_change()
         offset = self.log.append(stream, record)
-        if self.lose_answers:
-            self.lose_answers -= 1
-            raise exceptions.LogUnavailable('answer lost')
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
+            raise exceptions.LogUnavailable('answer to the append lost')
         return offset
 
     def read(self, stream: str, start: int) -> reader.Page:
-        """Read a page."""
+        """Return a page from offset ``start`` on."""
         self._check()
         return self.log.read(stream, start)
 
     def read_all(self, stream: str) -> list[reader.Page]:
-        """Read everything as one page."""
+        """Return all records as one page."""
         self._check()
         return [self.log.read(stream, 1, limit=10**6)]
 
     def _check(self) -> None:
         if self.log.down:
-            raise exceptions.LogUnavailable('down')
+            raise exceptions.LogUnavailable('log is down')
 
 
-class OneHost:
-    """A host list of one endpoint and no entries."""
+class SingleHostList:
+    """A host list with one endpoint and no entries."""
 
     def read(self) -> hosts.HostList:
-        """Return the list."""
+        """Return the host list."""
         host = hosts.Host.model_validate(
             {
                 'name': 'till-0',
@@ -86,18 +90,18 @@
         return hosts.HostList(version=1, hosts=[host])
 
 
-def operator(log: FlakyLog) -> fleet_client.FleetClient:
-    """Return a new operator's view of the platform."""
+def new_client(log: FlakyLog) -> fleet_client.FleetClient:
+    """Return a client with the test operator's settings; it never sleeps."""
     return fleet_client.FleetClient(
         cfg=settings.OperatorSettings.model_validate(SETTINGS),
         clock=clock.ManualClock(start=sim_module.START),
         log=log,
-        host_source=OneHost(),
+        host_source=SingleHostList(),
         sleep=lambda seconds: None,
     )
 
 
-def change(
+def config_change(
     author: str,
     number: int,
     base_version: int,
@@ -105,7 +109,7 @@
     new: patch.Document,
     at: datetime.datetime = sim_module.START,
 ) -> records.ConfigChange:
-    """Return the record that turns ``old`` into ``new``."""
+    """Return the record that changes the fleet ``old`` to ``new``."""
     return records.ConfigChange(
         id=f'{author}-{number}',
         author=author,
@@ -116,7 +120,7 @@
     )
 
 
-def named(document: patch.Document, name: str) -> patch.Document:
-    """Return the fleet under another name."""
+def with_name(document: patch.Document, name: str) -> patch.Document:
+    """Return a copy of a fleet document with another name."""
     renamed: dict[str, typing.Any] = {**document, 'name': name}
     return renamed
--- a/tests/lib/scripted_runs.py
+++ b/tests/lib/scripted_runs.py
@@ -41,14 +41,14 @@
 def lost_rank(seed: int) -> simulated_group.SimulatedGroup:
     """Only a rank that is then replaced is told of the next run."""
     world = simulated_group.SimulatedGroup(seed=seed)
-    world.put_plan(5)
+    world.set_plan(5)
     world.sim.run(500)
-    world.deaf = {0, 1}
+    world.grants_blocked = {0, 1}
     world.sim.run(2500)
     world.replace_rank(2)
     world.restart_agent(0)
-    world.put_plan(6)
-    world.deaf = set()
+    world.set_plan(6)
+    world.grants_blocked = set()
     world.sim.run(4000)
     return world
 
@@ -124,16 +124,16 @@
     The second one's host is new, so it knows nothing of the first one.
     """
     world = simulated_group.SimulatedGroup(seed=seed)
-    world.put_plan(5)
+    world.set_plan(5)
     world.sim.run(1000)
-    world.cut = {2}
+    world.partitioned = {2}
     world.restart_agent(0)
-    world.put_plan(6)
+    world.set_plan(6)
     world.sim.run(1000)
-    world.cut = {1}
+    world.partitioned = {1}
     world.replace_rank(0)
-    world.put_plan(7)
+    world.set_plan(7)
     world.sim.run(1500)
-    world.cut = set()
+    world.partitioned = set()
     world.sim.run(3000)
     return world
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -1,9 +1,10 @@
-"""A lock-step group: true leader and rank machines, a fake engine.
+"""A simulated group of ranks that run each step together.
 
-The engine steps only when every rank is granted the same next step, as
-a collective does, and records each rank's map version for each step it
-enters.  Unlike a real collective it lets a rank *enter* a granted step
-before the others do, which is the harder case.
+Runs the real LeaderMachine and RankMachine on a simulated engine and
+network.  The engine finishes a step when every rank has entered it, as a
+collective does, and records the map version with which each rank enters.
+Unlike in a real collective, a rank may enter a granted step before the
+others do, which makes the test stricter.
 """
 
 import dataclasses
@@ -15,16 +16,17 @@
 from aspenfold_standins import sim as sim_module
 
 GROUP = 'group-0'
-STEP_MS = 5
+STEP_INTERVAL_MS = 5
 PLACEMENT = ((0, 1), (1, 2), (2, 0))
-PREPARE_MS = 60
+PREPARE_DURATION_MS = 60
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Entered:
+class StepEntry:
     """A rank entered a step with a map version.
 
-    ``formation`` counts how often all ranks were new at the same time.
+    ``formation`` increments when no rank is left that was granted a step;
+    steps are then numbered from the start.
     """
 
     formation: int
@@ -35,28 +37,30 @@
 
 @dataclasses.dataclass(kw_only=True)
 class EngineRank:
-    """One rank's engine: what it was granted and which step it is in.
+    """One rank's engine.
 
-    ``checks_fencing``: it refuses orders with an old fencing number.
+    ``step`` is the last step that it finished, ``entered_step`` the last
+    that it entered, and ``fencing`` the highest token of its orders.  With
+    ``checks_fencing`` it refuses orders with a lower token.
     """
 
     checks_fencing: bool
     fencing: int = 0
     step: int = -1
-    entered: int = -1
+    entered_step: int = -1
     last_granted_step: int = -1
     runs: set[messages.StepRun] = dataclasses.field(default_factory=set)
     prepared: set[int] = dataclasses.field(default_factory=set)
 
-    def take(self, action: group_member.EngineOrder) -> bool:
-        """Obey an order, or refuse it for its fencing number."""
+    def execute(self, action: group_member.EngineOrder) -> bool:
+        """Execute an order; return False if its token is too low."""
         if self.checks_fencing and action.fencing < self.fencing:
             return False
         self.fencing = max(self.fencing, action.fencing)
         match action:
             case messages.OrderReset():
                 self.runs.clear()
-                self.entered = self.step
+                self.entered_step = self.step
             case messages.OrderPrepare(version=version):
                 self.prepared.add(version)
             case messages.OrderGrant(run=run):
@@ -64,22 +68,22 @@
                 self.last_granted_step = max(self.last_granted_step, run.last)
         return True
 
-    def next_step(self) -> messages.StepRun | None:
-        """Return the run of the first granted step after the current."""
+    def next_run(self) -> messages.StepRun | None:
+        """Return the first granted run that ends after the current step."""
         later = [run for run in self.runs if run.last > self.step]
         return min(later, default=None)
 
 
 class AgentProcess(sim_module.Node):
-    """One incarnation of a rank's agent, with the leader on rank 0."""
+    """One incarnation of a rank's agent; rank 0 also runs the leader."""
 
     def __init__(
-        self, *, world: 'SimulatedGroup', rank: int, number: int
+        self, *, group: 'SimulatedGroup', rank: int, number: int
     ) -> None:
-        super().__init__(sim=world.sim, name=f'rank-{rank}', zone='zone-a')
-        self.world = world
+        super().__init__(sim=group.sim, name=f'rank-{rank}', zone='zone-a')
+        self.group = group
         self.rank = rank
-        engine = world.engines[rank]
+        engine = group.engines[rank]
         self.machine = rank_machine.RankMachine(
             group=GROUP,
             rank=rank,
@@ -90,12 +94,12 @@
         self.leader: leader_machine.LeaderMachine | None = None
         if rank == 0:
             self.leader = leader_machine.LeaderMachine(
-                group=GROUP, ranks=world.ranks, rng=world.sim.rng
+                group=GROUP, ranks=group.ranks, rng=group.sim.rng
             )
         self.sim.every(20, lambda: self.do(self._tick))
 
     def receive(self, message: messages.Message) -> None:
-        """Take a message for the rank or for the leader."""
+        """Handle a message for the rank or for the leader."""
         if message.kind in messages.TO_RANKS:
             self.apply(self.machine.receive(message))
         elif self.leader is not None:
@@ -106,44 +110,44 @@
         for action in result:
             match action:
                 case messages.SendMessage():
-                    self.world.send(self, action.message)
+                    self.group.send(self, action.message)
                 case messages.OrderPrepare():
-                    self._order(action, PREPARE_MS)
+                    self._order(action, PREPARE_DURATION_MS)
                 case _:
                     self._order(action, 0)
 
     def _tick(self) -> None:
-        engine = self.world.engines[self.rank]
-        held = {run for run in engine.runs if run.last > engine.step}
-        self.apply(self.machine.on_engine_state(engine.step, held))
+        engine = self.group.engines[self.rank]
+        unfinished = {run for run in engine.runs if run.last > engine.step}
+        self.apply(self.machine.on_engine_state(engine.step, unfinished))
         if self.leader is not None:
-            version, placement = self.world.plan
+            version, placement = self.group.plan
             self.apply(self.leader.set_plan(version, placement))
             self.apply(self.leader.tick(self.sim.now))
 
     def _order(self, action: group_member.EngineOrder, ms: float) -> None:
-        engine = self.world.engines[self.rank]
+        engine = self.group.engines[self.rank]
 
         def arrive() -> None:
-            # The order left the process, so it arrives even if the
-            # agent is dead or frozen by now.
-            taken = engine.take(action)
-            lost = self.world.lost_order_answers
-            if self.sim.rng.random() < lost:
-                taken = False
-            work = self._taken if taken else self._refused
+            # An order that was sent arrives even if the agent is now dead
+            # or frozen.
+            accepted = engine.execute(action)
+            loss_rate = self.group.order_answer_loss_rate
+            if self.sim.rng.random() < loss_rate:
+                accepted = False
+            work = self._on_accepted if accepted else self._on_failed
             self.sim.after(
-                self.world.network.delay(),
+                self.group.network.delay(),
                 lambda: self.do(lambda: work(action)),
             )
 
-        self.sim.after(self.world.network.delay() + ms, arrive)
+        self.sim.after(self.group.network.delay() + ms, arrive)
 
-    def _refused(self, action: group_member.EngineOrder) -> None:
+    def _on_failed(self, action: group_member.EngineOrder) -> None:
         self.apply(self.machine.on_order_failed(action))
 
-    def _taken(self, action: group_member.EngineOrder) -> None:
-        engine = self.world.engines[self.rank]
+    def _on_accepted(self, action: group_member.EngineOrder) -> None:
+        engine = self.group.engines[self.rank]
         match action:
             case messages.OrderReset(fencing=token):
                 result = self.machine.on_engine_reset(
@@ -157,7 +161,12 @@
 
 
 class SimulatedGroup:
-    """A group, its network, and the history of its steps."""
+    """A group of ranks, their network, and the steps that they entered.
+
+    Ranks in ``stalled`` enter no step.  Ranks in ``grants_blocked`` get no
+    grants.  No message passes between a rank in ``partitioned`` and one
+    that is not.
+    """
 
     def __init__(
         self, *, seed: int, ranks: int = 3, checks_fencing: bool = True
@@ -168,53 +177,51 @@
         self.checks_fencing = checks_fencing
         self.plan: tuple[int, leader_machine.Placement] = (0, ())
         self.stalled: set[int] = set()
-        self.deaf: set[int] = set()
-        self.cut: set[int] = set()
-        self.lost_order_answers = 0.0
+        self.grants_blocked: set[int] = set()
+        self.partitioned: set[int] = set()
+        self.order_answer_loss_rate = 0.0
         self.formation = 0
-        self.entered: list[Entered] = []
-        self.steps_done = 0
-        self._numbers = 0
+        self.step_entries: list[StepEntry] = []
+        self.completed_steps = 0
+        self._agent_count = 0
         self.engines = [self._new_engine() for _ in range(ranks)]
         self.all_agents: list[AgentProcess] = []
         self.agents: list[AgentProcess] = []
         for rank in range(ranks):
             self.agents.append(self._new_agent(rank))
-        self.sim.every(STEP_MS, self._step)
+        self.sim.every(STEP_INTERVAL_MS, self._step)
 
-    def put_plan(self, version: int) -> None:
-        """Have the agents learn of plan ``version``."""
+    def set_plan(self, version: int) -> None:
+        """Make ``version`` the newest plan that the agents know."""
         self.plan = (version, PLACEMENT[: self.ranks])
 
     def restart_agent(self, rank: int) -> None:
-        """Kill an agent and start one beside the same engine."""
+        """Kill an agent and start a new one for the same engine."""
         self.agents[rank].kill()
         self.agents[rank] = self._new_agent(rank)
 
-    def take_over(self, rank: int) -> None:
-        """Start a new agent while the old one lives, paused or not."""
+    def start_second_agent(self, rank: int) -> None:
+        """Start a new agent without killing the old one."""
         self.agents[rank] = self._new_agent(rank)
 
     def replace_rank(self, rank: int) -> None:
-        """Replace a rank's host: agent and engine state are gone."""
+        """Replace a rank's host, which loses its agent and engine state."""
         self.agents[rank].kill()
         self.engines[rank] = self._new_engine()
         if all(engine.last_granted_step < 0 for engine in self.engines):
-            # Nobody is left who took part in a step: a new group.
+            # No rank has been granted a step: this is a new group.
             self.formation += 1
         self.agents[rank] = self._new_agent(rank)
 
     def send(self, sender: AgentProcess, message: messages.Message) -> None:
-        """Carry a message: late, lost or doubled.
-
-        Grants do not reach ranks in ``deaf``; nothing passes between a
-        rank in ``cut`` and the others.
-        """
-        apart = (sender.rank in self.cut) != (message.target in self.cut)
-        if apart and sender.rank != message.target:
+        """Send a message, which may be delayed, lost or duplicated."""
+        separated = (sender.rank in self.partitioned) != (
+            message.target in self.partitioned
+        )
+        if separated and sender.rank != message.target:
             return
-        granting = message.kind is messages.Kind.GRANT
-        if granting and message.target in self.deaf:
+        is_grant = message.kind is messages.Kind.GRANT
+        if is_grant and message.target in self.grants_blocked:
             return
         for _ in range(self.network.copies()):
             target = self.agents[message.target]
@@ -226,8 +233,8 @@
             )
 
     def _new_agent(self, rank: int) -> AgentProcess:
-        self._numbers += 1
-        agent = AgentProcess(world=self, rank=rank, number=self._numbers)
+        self._agent_count += 1
+        agent = AgentProcess(group=self, rank=rank, number=self._agent_count)
         self.all_agents.append(agent)
         return agent
 
@@ -235,126 +242,131 @@
         return EngineRank(checks_fencing=self.checks_fencing)
 
     def _step(self) -> None:
-        """Let ranks enter their next step, and finish it if all have."""
+        """Let ranks enter their next step; finish it if all have entered."""
         for rank, engine in enumerate(self.engines):
-            run = engine.next_step()
+            run = engine.next_run()
             if run is None or rank in self.stalled:
                 continue
             step = max(run.first, engine.step + 1)
-            if step != engine.entered:
-                engine.entered = step
-                self.entered.append(
-                    Entered(
+            if step != engine.entered_step:
+                engine.entered_step = step
+                self.step_entries.append(
+                    StepEntry(
                         formation=self.formation,
                         step=step,
                         rank=rank,
                         version=run.version,
                     )
                 )
-        entered = {engine.entered for engine in self.engines}
-        behind = any(engine.entered <= engine.step for engine in self.engines)
-        if len(entered) == 1 and not behind and not self.stalled:
+        entered_steps = {engine.entered_step for engine in self.engines}
+        is_behind = any(
+            engine.entered_step <= engine.step for engine in self.engines
+        )
+        if len(entered_steps) == 1 and not is_behind and not self.stalled:
             for engine in self.engines:
-                engine.step = engine.entered
-            self.steps_done += 1
+                engine.step = engine.entered_step
+            self.completed_steps += 1
 
 
-def one_map_each_step(world: SimulatedGroup) -> list[str]:
-    """P1: over all ranks, a step is entered with one map version."""
+def steps_with_mixed_maps(group: SimulatedGroup) -> list[str]:
+    """Return the violations of P1: all ranks enter a step with one map."""
     versions: dict[tuple[int, int], set[int]] = {}
-    for entry in world.entered:
+    for entry in group.step_entries:
         step = (entry.formation, entry.step)
         versions.setdefault(step, set()).add(entry.version)
     return [
-        f'step {step} used maps {sorted(used)}'
-        for step, used in versions.items()
-        if len(used) > 1
+        f'step {step} used maps {sorted(maps)}'
+        for step, maps in versions.items()
+        if len(maps) > 1
     ]
 
 
 class GroupChaosRun:
-    """Random faults on a group; one seed is one run."""
+    """Runs a group under random faults; the seed determines the run."""
 
     def __init__(self, *, seed: int, checks_fencing: bool = True) -> None:
-        self.world = SimulatedGroup(seed=seed, checks_fencing=checks_fencing)
-        self.sim = self.world.sim
+        self.group = SimulatedGroup(seed=seed, checks_fencing=checks_fencing)
+        self.sim = self.group.sim
         self.rng = self.sim.rng
-        self.faults_done = 0
+        self.fault_count = 0
 
     def run(self) -> SimulatedGroup:
-        """Run to the end and return the world with its history."""
-        world = self.world
+        """Run with faults, then without, and return the group.
+
+        Sets ``recovered``: whether steps continued after the faults.
+        """
+        group = self.group
         for number in range(self.rng.randint(1, 5)):
             self.sim.after(
                 self.rng.random() * 5000,
-                lambda number=number: world.put_plan(
-                    max(world.plan[0], 10 + number)
+                lambda number=number: group.set_plan(
+                    max(group.plan[0], 10 + number)
                 ),
             )
-        self.sim.after(0, lambda: world.put_plan(5))
+        self.sim.after(0, lambda: group.set_plan(5))
         for _ in range(self.rng.randint(3, 12)):
-            self.sim.after(self.rng.random() * 6000, self._fault)
+            self.sim.after(self.rng.random() * 6000, self._inject_fault)
         self.sim.run(7000)
-        self._heal()
-        done = world.steps_done
+        self._end_faults()
+        steps_before = group.completed_steps
         self.sim.run(4000)
-        self.recovered = world.steps_done > done
-        return world
+        self.recovered = group.completed_steps > steps_before
+        return group
 
-    def _fault(self) -> None:
-        self.faults_done += 1
+    def _inject_fault(self) -> None:
+        self.fault_count += 1
         rank = self.rng.choice((0, 0, 1, 2))
-        world = self.world
+        group = self.group
         match self.rng.randrange(9):
             case 0:
-                world.restart_agent(rank)
+                group.restart_agent(rank)
             case 1:
-                world.replace_rank(rank)
+                group.replace_rank(rank)
             case 2:
-                agent = world.agents[rank]
+                agent = group.agents[rank]
                 agent.freeze()
                 self.sim.after(self.rng.uniform(50, 2500), agent.thaw)
             case 3:
-                agent = world.agents[0]
+                agent = group.agents[0]
                 agent.freeze()
-                world.take_over(0)
+                group.start_second_agent(0)
                 self.sim.after(self.rng.uniform(50, 2500), agent.thaw)
             case 4:
-                world.network.jitter_ms = self.rng.choice((2.0, 50.0, 300.0))
-                world.network.lost = self.rng.choice((0.0, 0.3))
-                world.network.doubled = self.rng.choice((0.0, 0.4))
+                group.network.jitter_ms = self.rng.choice((2.0, 50.0, 300.0))
+                group.network.lost = self.rng.choice((0.0, 0.3))
+                group.network.doubled = self.rng.choice((0.0, 0.4))
             case 5:
-                world.stalled.add(rank)
+                group.stalled.add(rank)
                 self.sim.after(
                     self.rng.uniform(50, 2000),
-                    lambda: world.stalled.discard(rank),
+                    lambda: group.stalled.discard(rank),
                 )
             case 6:
-                # The leader dies soon after a map change began.
-                world.put_plan(world.plan[0] + 1)
+                # Restart the leader soon after a map change begins.
+                group.set_plan(group.plan[0] + 1)
                 self.sim.after(
                     self.rng.uniform(0, 120),
-                    lambda: world.restart_agent(0),
+                    lambda: group.restart_agent(0),
                 )
 
             case 7:
-                world.cut.add(rank)
+                group.partitioned.add(rank)
                 self.sim.after(
                     self.rng.uniform(50, 2500),
-                    lambda: world.cut.discard(rank),
+                    lambda: group.partitioned.discard(rank),
                 )
             case 8:
-                # The engine obeys, but its answers are lost.
-                world.lost_order_answers = self.rng.choice((0.0, 0.4))
-
-    def _heal(self) -> None:
-        world = self.world
-        world.cut.clear()
-        world.lost_order_answers = 0.0
-        world.network.jitter_ms = 2.0
-        world.network.lost = 0.0
-        world.network.doubled = 0.0
-        world.stalled.clear()
-        for agent in world.agents:
+                # Orders are executed, but some of their answers are lost.
+                group.order_answer_loss_rate = self.rng.choice((0.0, 0.4))
+
+    def _end_faults(self) -> None:
+        group = self.group
+        group.partitioned.clear()
+        group.order_answer_loss_rate = 0.0
+        group.network.jitter_ms = 2.0
+        group.network.lost = 0.0
+        group.network.doubled = 0.0
+        group.stalled.clear()
+        for agent in group.agents:
             if agent.frozen:
                 agent.thaw()
--- a/tests/lib/simulated_ranks.py
+++ b/tests/lib/simulated_ranks.py
@@ -1,9 +1,8 @@
-"""Ranks of one group, and leaders, under lost, late and doubled orders.
+"""Simulated ranks of one group, and leaders that switch their maps.
 
-The ranks behave as the platform's pages say: an order is refused by its
-token, its epoch and the rank's state, at the time at which it is
-carried out.  Leaders are killed, paused and doubled.  A pass must never
-begin with two maps.
+Runs the real MapSwitch.  A rank accepts or refuses an order by its token,
+its epoch and the rank's state at the time when the order arrives, which
+may be late or never.  Leaders are killed, or paused and replaced.
 """
 
 import dataclasses
@@ -19,148 +18,170 @@
 
 MS = datetime.timedelta(milliseconds=1)
 TICK_INTERVAL = 10 * MS
-REPORT_LAG = 200 * MS
-COPY_TIME = 150 * MS
-FORM_TIME = 600 * MS
-TERM_TOKENS = 1_000_000
+REPORT_DELAY = 200 * MS
+COPY_DURATION = 150 * MS
+FORMATION_DURATION = 600 * MS
+TOKENS_PER_TERM = 1_000_000
 
 
 class MixedMapsError(AssertionError):
-    """A pass began with two maps."""
+    """A pass began while the ranks used different maps."""
 
 
 @dataclasses.dataclass
 class Rank:
-    """The state of one rank."""
+    """The state of one rank.
 
-    fence: int = 0
-    highest: int = 0
+    ``min_token`` is the highest token of the accepted orders;
+    ``highest_version`` the highest version that was prepared;
+    ``copied_at`` is when its experts are copied.
+    """
+
+    min_token: int = 0
+    highest_version: int = 0
     version: int = 0
     map: rank_protocol.Map = ()
     prepared: int | None = None
     copied_at: datetime.datetime | None = None
     new_map: rank_protocol.Map = ()
     armed: rank_protocol.Armed | None = None
-    held: int | None = None
+    held_pass: int | None = None
 
-    def clear(self) -> None:
-        """Begin a new epoch."""
+    def reset(self) -> None:
+        """Clear what a new epoch clears."""
         self.version = 0
         self.map = ()
         self.prepared = None
         self.armed = None
-        self.held = None
+        self.held_pass = None
 
 
 @dataclasses.dataclass(frozen=True)
 class Faults:
-    """Shares of orders, and rates a second of the rest."""
+    """How often each fault occurs.
+
+    ``late_fraction``, ``lost_fraction`` and ``lost_answer_fraction`` are
+    fractions of the orders, ``fresh_fraction`` of the reports, and
+    ``idle_fraction`` is 20 times the fraction of passes that are followed
+    by a long pause.
+    """
 
-    late: float = 0.15
-    answer_lost: float = 0.1
-    lost: float = 0.05
-    crash: float = 0.05
-    leader_kill: float = 0.25
-    leader_pause: float = 0.25
-    leader_start: float = 0.8
-    idle: float = 0.3
-    fresh: float = 0.5
+    late_fraction: float = 0.15
+    lost_answer_fraction: float = 0.1
+    lost_fraction: float = 0.05
+    crashes_per_s: float = 0.05
+    leader_kills_per_s: float = 0.25
+    leader_pauses_per_s: float = 0.25
+    leader_starts_per_s: float = 0.8
+    idle_fraction: float = 0.3
+    fresh_fraction: float = 0.5
 
 
 NO_FAULTS = Faults(
-    late=0,
-    answer_lost=0,
-    lost=0,
-    crash=0,
-    leader_kill=0,
-    leader_pause=0,
-    leader_start=5,
-    idle=0,
+    late_fraction=0,
+    lost_answer_fraction=0,
+    lost_fraction=0,
+    crashes_per_s=0,
+    leader_kills_per_s=0,
+    leader_pauses_per_s=0,
+    leader_starts_per_s=5,
+    idle_fraction=0,
 )
 
 
 class Leader:
-    """Drives one switch as the gateway's group leader does."""
+    """Runs one MapSwitch as the gateway's group leader does."""
 
-    def __init__(self, world: 'SimulatedRanks', term: int) -> None:
-        self.world = world
-        self.token = term * TERM_TOKENS
+    def __init__(self, simulation: 'SimulatedRanks', term: int) -> None:
+        self.simulation = simulation
+        self.token = term * TOKENS_PER_TERM
         self.switch: map_switch.MapSwitch | None = None
-        self.paused_until = world.now
-        self._asked_at = world.now
+        self.paused_until = simulation.now
+        self._requested_at = simulation.now
         self._inbox: list[typing.Callable[[], None]] = []
 
     def post(self, work: typing.Callable[[], None]) -> None:
-        """Deliver an answer; a paused leader takes it later."""
+        """Queue work, which the leader runs at its next poll."""
         self._inbox.append(work)
 
-    def turn(self) -> bool:
-        """Act; return False once it was fenced."""
-        world = self.world
-        if world.now < self.paused_until:
+    def poll(self) -> bool:
+        """Run the leader once; return False if it was fenced."""
+        simulation = self.simulation
+        if simulation.now < self.paused_until:
             return True
         inbox, self._inbox = self._inbox, []
         for work in inbox:
             work()
         if self.switch is None:
-            self._find()
+            self._start_switch()
             return True
-        self.perform(self.switch.tick(world.now))
+        self.execute_actions(self.switch.tick(simulation.now))
         if self.switch.state is map_switch.State.LOST:
             fenced = self.switch.fenced
             self.token = self.switch.token
             self.switch = None
             return not fenced
-        self._work(self.switch)
+        self._operate(self.switch)
         return True
 
-    def _find(self) -> None:
-        world = self.world
-        if world.now - self._asked_at < 100 * MS or not world.open:
+    def _start_switch(self) -> None:
+        simulation = self.simulation
+        if (
+            simulation.now - self._requested_at < 100 * MS
+            or not simulation.is_open
+        ):
             return
-        self._asked_at = world.now
-        self.switch = world.switch_class(
+        self._requested_at = simulation.now
+        self.switch = simulation.switch_class(
             group='g',
-            epoch=world.epoch,
-            size=len(world.ranks),
+            epoch=simulation.epoch,
+            size=len(simulation.ranks),
             first_token=self.token,
         )
 
-    def _work(self, machine: map_switch.MapSwitch) -> None:
-        world = self.world
-        if world.now - self._asked_at >= 300 * MS:
-            self._asked_at = world.now
-            self.perform([map_switch.RequestReport(rank=map_switch.HOLD_RANK)])
-        elif machine.is_ready and world.rng.random() < 0.1:
-            content = world.rng.randrange(1 << 30)
-            self.perform(machine.start_round((((content,),),), world.now))
-
-    def perform(self, actions: list[map_switch.Action]) -> None:
-        """Send orders, ask for reports."""
+    def _operate(self, machine: map_switch.MapSwitch) -> None:
+        simulation = self.simulation
+        if simulation.now - self._requested_at >= 300 * MS:
+            self._requested_at = simulation.now
+            self.execute_actions(
+                [map_switch.RequestReport(rank=map_switch.HOLD_RANK)]
+            )
+        elif machine.is_ready and simulation.rng.random() < 0.1:
+            content = simulation.rng.randrange(1 << 30)
+            self.execute_actions(
+                machine.start_round((((content,),),), simulation.now)
+            )
+
+    def execute_actions(self, actions: list[map_switch.Action]) -> None:
+        """Send orders and request reports."""
         machine = self.switch
         assert machine is not None
         for action in actions:
             if isinstance(action, map_switch.RequestReport):
-                self._ask(machine, action.rank)
+                self._request_report(machine, action.rank)
             else:
-                self.world.send(self, machine, action)
+                self.simulation.send(self, machine, action)
 
-    def _ask(self, machine: map_switch.MapSwitch, rank: int) -> None:
-        world = self.world
-        asked_at = world.now
-        fresh = world.rng.random() < world.faults.fresh
-        report = world.report(rank, fresh=fresh)
+    def _request_report(
+        self, machine: map_switch.MapSwitch, rank: int
+    ) -> None:
+        simulation = self.simulation
+        requested_at = simulation.now
+        fresh = simulation.rng.random() < simulation.faults.fresh_fraction
+        report = simulation.report(rank, fresh=fresh)
 
         def arrive() -> None:
             if self.switch is not machine or report is None:
                 return
-            age = world.now - asked_at
+            age = simulation.now - requested_at
             if not fresh:
                 age += rank_protocol.MAX_REPORT_AGE
-            told = dataclasses.replace(report, age=age)
-            self.perform(machine.on_report(told, world.now))
+            aged_report = dataclasses.replace(report, age=age)
+            self.execute_actions(
+                machine.on_report(aged_report, simulation.now)
+            )
 
-        self.world.after(5 * MS, lambda: self.post(arrive))
+        self.simulation.after(5 * MS, lambda: self.post(arrive))
 
     def on_answer(
         self,
@@ -168,13 +189,15 @@
         order: rank_protocol.Order,
         answer: rank_protocol.Answer,
     ) -> None:
-        """Take an answer."""
+        """Handle a rank's answer; ignore it if it is for an earlier switch."""
         if self.switch is machine:
-            self.perform(machine.on_answer(order, answer, self.world.now))
+            self.execute_actions(
+                machine.on_answer(order, answer, self.simulation.now)
+            )
 
 
 class SimulatedRanks:
-    """The group, its leaders, and the orders on their way."""
+    """The ranks of a group, its leaders, and the orders in transit."""
 
     def __init__(
         self,
@@ -188,127 +211,134 @@
         self.now = clock.EPOCH
         self.ranks = [Rank() for _ in range(size)]
         self.epoch = 1
-        self.open = True
+        self.is_open = True
         self.step = 0
-        self.passes = 0
+        self.pass_count = 0
         self.faults = faults or Faults()
         self.switch_class = switch_class
         self.leaders: list[Leader] = []
-        self.switched = 0
+        self.rank_switch_count = 0
         self._term = 0
         self._events: list[tuple[datetime.datetime, int, typing.Any]] = []
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._next_pass = self.now
-        self._past: list[tuple[datetime.datetime, typing.Any]] = []
-
-    # -- running ---------------------------------------------------------
+        self._past_states: list[tuple[datetime.datetime, typing.Any]] = []
 
     def run(self, duration: datetime.timedelta) -> None:
-        """Let the world go on."""
+        """Advance the simulation by ``duration``.
+
+        Raises MixedMapsError if a pass begins with different maps.
+        """
         end = self.now + duration
         while self.now < end:
             self.now += TICK_INTERVAL
             while self._events and self._events[0][0] <= self.now:
                 heapq.heappop(self._events)[2]()
-            self._strike()
-            self._pass()
-            self._remember()
-            self.leaders = [x for x in self.leaders if x.turn()]
+            self._inject_faults()
+            self._begin_pass()
+            self._record_state()
+            self.leaders = [x for x in self.leaders if x.poll()]
 
     def after(
-        self, wait: datetime.timedelta, work: typing.Callable[[], None]
+        self, delay: datetime.timedelta, work: typing.Callable[[], None]
     ) -> None:
-        """Do ``work`` later."""
-        item = (self.now + wait, next(self._numbers), work)
+        """Run ``work`` after ``delay``."""
+        item = (self.now + delay, next(self._sequence_numbers), work)
         heapq.heappush(self._events, item)
 
     def _chance(self, rate: float) -> bool:
         return self.rng.random() < rate * (TICK_INTERVAL / (1000 * MS))
 
-    def _strike(self) -> None:
+    def _inject_faults(self) -> None:
         faults = self.faults
-        if self.open and self._chance(faults.crash):
-            self.crash()
+        if self.is_open and self._chance(faults.crashes_per_s):
+            self.crash_rank()
         for leader in list(self.leaders):
-            if self._chance(faults.leader_kill):
+            if self._chance(faults.leader_kills_per_s):
                 self.leaders.remove(leader)
-            elif self._chance(faults.leader_pause):
-                wait = self.rng.randrange(100, 4000) * MS
-                leader.paused_until = self.now + wait
-        awake = [x for x in self.leaders if x.paused_until <= self.now]
-        if not awake and self._chance(faults.leader_start):
+            elif self._chance(faults.leader_pauses_per_s):
+                delay = self.rng.randrange(100, 4000) * MS
+                leader.paused_until = self.now + delay
+        running = [x for x in self.leaders if x.paused_until <= self.now]
+        if not running and self._chance(faults.leader_starts_per_s):
             self._term += 1
             self.leaders.append(Leader(self, self._term))
 
-    def crash(self) -> None:
-        """Lose a rank; the group forms anew a while later."""
-        self.open = False
-        self.rng.choice(self.ranks).fence = 0
-        self.after(FORM_TIME + self.rng.randrange(2000) * MS, self._form)
+    def crash_rank(self) -> None:
+        """Close the group; it forms again in a new epoch after a while.
 
-    def _form(self) -> None:
-        self.open = True
+        One rank forgets which tokens it has accepted.
+        """
+        self.is_open = False
+        self.rng.choice(self.ranks).min_token = 0
+        self.after(
+            FORMATION_DURATION + self.rng.randrange(2000) * MS,
+            self._form_group,
+        )
+
+    def _form_group(self) -> None:
+        self.is_open = True
         self.epoch += 1
         self.step = 0
         for rank in self.ranks:
-            rank.clear()
+            rank.reset()
 
-    def _pass(self) -> None:
-        """Begin the next pass if nothing holds it."""
-        if not self.open or self.now < self._next_pass:
+    def _begin_pass(self) -> None:
+        """Begin the next pass if it is due and no rank holds it."""
+        if not self.is_open or self.now < self._next_pass:
             return
-        begins = self.step + 1
-        if any(rank.held == begins for rank in self.ranks):
+        next_pass = self.step + 1
+        if any(rank.held_pass == next_pass for rank in self.ranks):
             return
-        self.step = begins
-        self.passes += 1
+        self.step = next_pass
+        self.pass_count += 1
         for rank in self.ranks:
             armed = rank.armed
-            if armed is not None and armed.step == begins:
-                self.switched += 1
+            if armed is not None and armed.step == next_pass:
+                self.rank_switch_count += 1
                 rank.version = armed.version
                 rank.map = rank.new_map
                 rank.armed = None
         maps = {(rank.version, rank.map) for rank in self.ranks}
         if len(maps) > 1:
-            raise MixedMapsError(f'pass {begins} of {self.epoch}: {maps}')
-        wait = self.rng.randrange(30, 90) * MS
-        if self.rng.random() < self.faults.idle / 20:
-            wait = self.rng.randrange(500, 5000) * MS
-        self._next_pass = self.now + wait
-
-    def _remember(self) -> None:
-        seen = [dataclasses.replace(rank) for rank in self.ranks]
-        state = (self.epoch, self.open, self.step, seen)
-        self._past.append((self.now, state))
-        while self._past[0][0] < self.now - REPORT_LAG:
-            self._past.pop(0)
-
-    # -- what leaders see and do -----------------------------------------
+            raise MixedMapsError(
+                f'pass {next_pass} of epoch {self.epoch}: maps {maps}'
+            )
+        delay = self.rng.randrange(30, 90) * MS
+        if self.rng.random() < self.faults.idle_fraction / 20:
+            delay = self.rng.randrange(500, 5000) * MS
+        self._next_pass = self.now + delay
+
+    def _record_state(self) -> None:
+        rank_copies = [dataclasses.replace(rank) for rank in self.ranks]
+        state = (self.epoch, self.is_open, self.step, rank_copies)
+        self._past_states.append((self.now, state))
+        while self._past_states[0][0] < self.now - REPORT_DELAY:
+            self._past_states.pop(0)
 
     def report(
         self, number: int, *, fresh: bool = False
     ) -> rank_protocol.Report | None:
-        """Return a rank's state as of a while ago, or as it is."""
-        if not self._past:
+        """Return a rank's report, up to REPORT_DELAY old unless ``fresh``."""
+        if not self._past_states:
             return None
-        _, (epoch, is_open, step, all_ranks) = self._past[0]
+        _, (epoch, is_open, step, ranks) = self._past_states[0]
         if fresh:
-            epoch, is_open, step = self.epoch, self.open, self.step
-            all_ranks = self.ranks
-        rank = all_ranks[number]
-        copied = rank.copied_at is not None and rank.copied_at <= self.now
+            epoch, is_open, step = self.epoch, self.is_open, self.step
+            ranks = self.ranks
+        rank = ranks[number]
+        is_copied = rank.copied_at is not None and rank.copied_at <= self.now
         return rank_protocol.Report(
             group='g',
             epoch=epoch,
             rank=number,
-            size=len(all_ranks),
+            size=len(ranks),
             open=is_open,
             step=step,
             version=rank.version,
-            prepared=rank.prepared if copied else None,
+            prepared=rank.prepared if is_copied else None,
             armed=rank.armed,
-            held=rank.held,
+            held=rank.held_pass,
         )
 
     def send(
@@ -317,38 +347,38 @@
         machine: map_switch.MapSwitch,
         order: rank_protocol.Order,
     ) -> None:
-        """Carry an order to its rank, or lose it, or its answer."""
+        """Deliver an order; it, or its answer, may be late or lost."""
         faults = self.faults
-        drawn = self.rng.random()
-        wait = self.rng.randrange(1, 15) * MS
-        if drawn < faults.lost:
+        draw = self.rng.random()
+        delay = self.rng.randrange(1, 15) * MS
+        if draw < faults.lost_fraction:
             return
-        if drawn < faults.lost + faults.late:
-            late = self.rng.randrange(2000, 12000) * MS
-            self.after(late, lambda: self.execute(order))
+        if draw < faults.lost_fraction + faults.late_fraction:
+            late_delay = self.rng.randrange(2000, 12000) * MS
+            self.after(late_delay, lambda: self.execute(order))
             return
-        silent = self.rng.random() < faults.answer_lost
+        answer_is_lost = self.rng.random() < faults.lost_answer_fraction
 
         def arrive() -> None:
             answer = self.execute(order)
-            if not silent:
+            if not answer_is_lost:
                 leader.post(lambda: leader.on_answer(machine, order, answer))
 
-        self.after(wait, arrive)
+        self.after(delay, arrive)
 
     def execute(self, order: rank_protocol.Order) -> rank_protocol.Answer:
-        """Let a rank take or refuse an order."""
+        """Execute an order now, and return the rank's answer."""
         rank = self.ranks[order.rank]
-        if order.token < rank.fence:
+        if order.token < rank.min_token:
             return rank_protocol.Answer.FENCED
-        if not self.open or order.epoch != self.epoch:
+        if not self.is_open or order.epoch != self.epoch:
             return rank_protocol.Answer.REFUSED
-        if not self._fits(rank, order):
+        if not self._accept(rank, order):
             return rank_protocol.Answer.REFUSED
-        rank.fence = order.token
+        rank.min_token = order.token
         return rank_protocol.Answer.ACCEPTED
 
-    def _fits(self, rank: Rank, order: rank_protocol.Order) -> bool:
+    def _accept(self, rank: Rank, order: rank_protocol.Order) -> bool:
         match order.op:
             case rank_protocol.Op.PREPARE:
                 return self._prepare(rank, order)
@@ -369,23 +399,23 @@
                 if armed is not None and armed.version == order.version:
                     rank.armed = None
             case rank_protocol.Op.HOLD:
-                if rank.held is not None and rank.held != order.step:
+                if rank.held_pass is not None and rank.held_pass != order.step:
                     return False
                 if order.step <= self.step:
                     return False
-                rank.held = order.step
+                rank.held_pass = order.step
             case rank_protocol.Op.RELEASE:
-                if rank.held == order.step:
-                    rank.held = None
+                if rank.held_pass == order.step:
+                    rank.held_pass = None
         return True
 
     def _prepare(self, rank: Rank, order: rank_protocol.Order) -> bool:
         if rank.prepared == order.version:
             return True
-        if rank.armed is not None or order.version <= rank.highest:
+        if rank.armed is not None or order.version <= rank.highest_version:
             return False
-        rank.highest = order.version
+        rank.highest_version = order.version
         rank.prepared = order.version
         rank.new_map = order.new_map
-        rank.copied_at = self.now + COPY_TIME
+        rank.copied_at = self.now + COPY_DURATION
         return True
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -70,7 +70,7 @@
                 writer.close()
                 return
             async with asyncio.timeout(PATIENCE_S):
-                asked.answer = await gateway_rig.read_answer(reader)
+                asked.answer = await gateway_rig.read_response(reader)
         except (OSError, TimeoutError):
             # Told by the answer that is missing.
             writer.close()
@@ -99,7 +99,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         answer = asked.answer
-        ended = answer is None or not answer.whole
+        ended = answer is None or not answer.complete
         if answer is not None and not ended:
             ended = answer.headers.get('connection') == 'close'
         if ended:
@@ -198,7 +198,7 @@
                     self._gateway.host, self._gateway.callers
                 )
                 writer.write('\r\n'.join([*lines, '', '']).encode())
-                answer = await gateway_rig.read_answer(reader)
+                answer = await gateway_rig.read_response(reader)
                 writer.close()
         except (OSError, TimeoutError):
             return 0
--- a/tests/soak/group.py
+++ b/tests/soak/group.py
@@ -37,7 +37,7 @@
 }
 
 NO_LEADERS = dataclasses.replace(
-    simulated_ranks.NO_FAULTS, leader_start=0, idle=0.3
+    simulated_ranks.NO_FAULTS, leader_starts_per_s=0, idle_fraction=0.3
 )
 
 CALM = (0.0, 0.0)
@@ -84,8 +84,8 @@
 
     def crash(self) -> None:
         """Lose a rank: the group forms anew in a later epoch."""
-        if self.world.open:
-            self.world.crash()
+        if self.world.is_open:
+            self.world.crash_rank()
 
     def stop(self) -> None:
         """Carry out no late order any more."""
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -35,14 +35,14 @@
     incarnation: int
     sent_at: float
     left_early: bool = False
-    answer: gateway_rig.Answer | None = None
+    answer: gateway_rig.Response | None = None
     ended_at: float = 0.0
 
     @property
     def served(self) -> bool:
         """Whether the caller got a whole success."""
         found = self.answer
-        return found is not None and found.whole and found.status == 200
+        return found is not None and found.complete and found.status == 200
 
 
 class Ledger:
--- a/tests/soak/main.py
+++ b/tests/soak/main.py
@@ -97,7 +97,7 @@
         seed=seed,
         requests=sum(not a.attempt.startswith('probe-') for a in asked),
         served=sum(a.served for a in asked),
-        switched=system.group.world.switched,
+        switched=system.group.world.rank_switch_count,
         broken=broken,
         faults=struck.told,
         folder=str(folder),
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -114,7 +114,7 @@
             self._success(asked)
         elif answer.status in (400, 401, 403, 404, 413, 431):
             self._tell(f'{asked.attempt} was told {answer.status}')
-        elif not answer.whole:
+        elif not answer.complete:
             self._cut(asked)
 
     def _success(self, asked: ledger_module.Asked) -> None:
@@ -124,15 +124,15 @@
             self._tell(f'{asked.attempt}: a success without a signature')
         if asked.path in ledger_module.STREAMS:
             whole = b''.join(EVENTS)
-            if answer.whole and answer.body != whole:
+            if answer.complete and answer.body != whole:
                 self._tell(f'{asked.attempt}: events {answer.body!r}')
             if not whole.startswith(answer.body):
                 self._tell(f'{asked.attempt}: out of order {answer.body!r}')
-        elif answer.whole:
+        elif answer.complete:
             expected = b'answer to ' + asked.attempt.encode()
             if answer.body != expected:
                 self._tell(f'{asked.attempt} got {answer.body!r}')
-        if not answer.whole:
+        if not answer.complete:
             self._cut(asked)
 
     def _cut(self, asked: ledger_module.Asked) -> None:
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -43,7 +43,7 @@
 
     gateway: str
     process: asyncio.subprocess.Process
-    target: signals.Target
+    target: signals.ProcessHandle
     log: pathlib.Path
     asked_to_end: bool = False
     killed: bool = False
@@ -96,7 +96,7 @@
         found = Incarnation(
             gateway=self.name,
             process=process,
-            target=signals.Target(pid=process.pid),
+            target=signals.ProcessHandle(pid=process.pid),
             log=log,
         )
         self.incarnations.append(found)
@@ -131,7 +131,7 @@
             found.killed = True
         if number is signal.SIGHUP:
             pid = found.process.pid
-            found.reloaded_early |= not signals.heeded(pid, number)
+            found.reloaded_early |= not signals.is_handled(pid, number)
         if number in (signal.SIGSTOP, signal.SIGCONT):
             found.paused = number is signal.SIGSTOP
         found.target.send(number)
@@ -147,7 +147,7 @@
     ) -> None:
         super().__init__(name=name, host=host, folder=folder)
         self.internal = internal
-        self.callers, self.health = free_ports.distinct(host, 2)
+        self.callers, self.health = free_ports.find_ports(host, 2)
         self.front = links.Link(host=host, port=self.callers)
         self.store: links.Link
 
@@ -174,7 +174,7 @@
                     self.host, self.health
                 )
                 writer.write(b'GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n')
-                answer = await gateway_rig.read_answer(reader)
+                answer = await gateway_rig.read_response(reader)
                 writer.close()
         except (OSError, TimeoutError):
             return False
@@ -241,7 +241,7 @@
         fresh = random.SystemRandom()
         network = f'127.{fresh.randrange(20, 250)}.{fresh.randrange(250)}'
         hosts = [f'{network}.{n + 1}' for n in range(gateways + GROUP_SIZE)]
-        internal = free_ports.pair(hosts)
+        internal = free_ports.find_port_pair(hosts)
         self.gateways = [
             Gateway(
                 name=f'gateway-{n}',
@@ -369,10 +369,10 @@
     async def change_plan(self) -> None:
         """Write a newer plan, with a path that only it has."""
         self.version += self.rng.randrange(1, 4)
-        found = gateway_rig.plan(self.version)
+        found = gateway_rig.make_plan(self.version)
         routes = found['routes']
         assert isinstance(routes, list)
-        probe = gateway_rig.route(self.probe_path, 'safe')
+        probe = gateway_rig.make_route(self.probe_path, 'safe')
         found['routes'] = [*routes, {**probe, 'allow_anonymous': True}]
         services = found['services']
         assert isinstance(services, list)
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -37,7 +37,7 @@
     log: operators.FlakyLog, path: str, base: int | None = None
 ) -> exit_status.Exit:
     """Apply the fleet at ``path`` as a new operator."""
-    command = apply.ApplyCommand(client=operators.operator(log))
+    command = apply.ApplyCommand(client=operators.new_client(log))
     return command.run(
         path, base_version=base, reason='', wait=NO_WAIT, as_json=True
     )
@@ -45,7 +45,7 @@
 
 def fleet_name(log: operators.FlakyLog) -> str:
     """Return the name of the fleet in force."""
-    client = operators.operator(log)
+    client = operators.new_client(log)
     client.catch_up()
     return str(client.state.document.get('name'))
 
@@ -89,13 +89,13 @@
     failed_appends: int,
 ) -> None:
     """After an error the client looks for its record on the log."""
-    log.lose_answers = lost_responses
-    log.fail_appends = failed_appends
+    log.answers_to_lose = lost_responses
+    log.appends_to_fail = failed_appends
     assert (
         run_apply(log, write_fleet(tmp_path, 'first')) is exit_status.Exit.OK
     )
     assert fleet_name(log) == 'first'
-    rows = audit.AuditCommand(client=operators.operator(log)).rows()
+    rows = audit.AuditCommand(client=operators.new_client(log)).rows()
     accepted = [row for row in rows if row['verdict'] == 'accepted']
     assert len(accepted) == 1
 
@@ -109,7 +109,7 @@
     log.before_append = lambda: run_apply(
         rival, write_fleet(tmp_path, 'rival')
     )
-    log.lose_answers = 1
+    log.answers_to_lose = 1
     with pytest.raises(exceptions.ConfigError) as caught:
         run_apply(log, write_fleet(tmp_path, 'mine'))
     assert caught.value.failure.code is exceptions.Code.CONFIG_CONFLICT
@@ -120,7 +120,7 @@
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
     """The error must not claim that the change was rejected."""
-    log.fail_appends = 99
+    log.appends_to_fail = 99
     with pytest.raises(exceptions.ConfigError) as caught:
         run_apply(log, write_fleet(tmp_path, 'first'))
     assert caught.value.failure.code is exceptions.Code.APPEND_UNKNOWN
@@ -131,11 +131,11 @@
 ) -> None:
     """Each change is listed with its offset, author and reason."""
     run_apply(log, write_fleet(tmp_path, 'first'))
-    client = operators.operator(log)
+    client = operators.new_client(log)
     membership.MembershipCommand(client=client).run(
         'till-0', 'draining', reason='repair', as_json=True
     )
-    rows = audit.AuditCommand(client=operators.operator(log)).rows()
+    rows = audit.AuditCommand(client=operators.new_client(log)).rows()
     assert [row['offset'] for row in rows] == [1, 2]
     assert rows[0]['from'] == 'version 0'
     assert rows[0]['to'].startswith('version 1: ')
@@ -176,7 +176,7 @@
 
 def audit_verdicts(log: operators.FlakyLog) -> list[str]:
     """Return the verdicts in the audit, in order of offsets."""
-    command = audit.AuditCommand(client=operators.operator(log))
+    command = audit.AuditCommand(client=operators.new_client(log))
     return [row['verdict'] for row in command.rows()]
 
 
@@ -184,7 +184,7 @@
     log: operators.FlakyLog,
 ) -> None:
     """The error lists the names of the endpoints that exist."""
-    command = membership.MembershipCommand(client=operators.operator(log))
+    command = membership.MembershipCommand(client=operators.new_client(log))
     with pytest.raises(exceptions.ConfigError) as caught:
         command.run('till-9', 'draining', reason='', as_json=True)
     assert caught.value.failure.code is exceptions.Code.NOT_FOUND
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -15,9 +15,9 @@
 def test_group_machines_forget_finished_runs() -> None:
     """Leader and ranks keep only unfinished runs."""
     world = simulated_group.SimulatedGroup(seed=1)
-    world.put_plan(5)
+    world.set_plan(5)
     world.sim.run(20_000)
-    assert world.steps_done > 3000
+    assert world.completed_steps > 3000
     leader = world.agents[0].leader
     assert leader is not None
     for member in leader._members.values():
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -51,10 +51,12 @@
         """An operator applies a change based on one reader's state."""
         state = self.readers[who].state
         old = state.document
-        new = operators.named(fleets.document(), name)
+        new = operators.with_name(fleets.document(), name)
         self.number += 1
         self._append(
-            operators.change(f'op{who}', self.number, state.version, old, new)
+            operators.config_change(
+                f'op{who}', self.number, state.version, old, new
+            )
         )
 
     @stateful.rule(holder=READERS)
--- a/tests/unit/test_guards.py
+++ b/tests/unit/test_guards.py
@@ -159,7 +159,7 @@
     """Without the guard some run uses two maps in one step."""
     mutation(monkeypatch)
     for seed in seeds_from(first):
-        if simulated_group.one_map_each_step(run(seed)):
+        if simulated_group.steps_with_mixed_maps(run(seed)):
             return
     pytest.fail('no run failed the check without the guard')
 
@@ -173,8 +173,8 @@
     """The scripted group runs use one map in each step, and progress."""
     for seed in range(MAX_SEEDS):
         world = run(seed)
-        assert simulated_group.one_map_each_step(world) == [], seed
-        assert world.steps_done > 0, seed
+        assert simulated_group.steps_with_mixed_maps(world) == [], seed
+        assert world.completed_steps > 0, seed
 
 
 def test_group_without_ballot_check_does_not_recover(
--- a/tests/unit/test_histories.py
+++ b/tests/unit/test_histories.py
@@ -38,7 +38,7 @@
         run = simulated_group.GroupChaosRun(
             seed=seed, checks_fencing=checks_fencing
         )
-        assert simulated_group.one_map_each_step(run.run()) == [], seed
+        assert simulated_group.steps_with_mixed_maps(run.run()) == [], seed
         assert run.recovered, seed
 
 
--- a/tests/unit/test_plans.py
+++ b/tests/unit/test_plans.py
@@ -22,14 +22,14 @@
     *routes: dict[str, object], **fields: object
 ) -> plan.Plan:
     """Return the example plan with other routes and fields."""
-    return decode(rigs.plan(routes=list(routes), **fields))
+    return decode(rigs.make_plan(routes=list(routes), **fields))
 
 
 def test_valid_plan_is_summarised_without_its_keys(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """The organisations' keys are secrets."""
-    valid = decode(rigs.plan(4))
+    valid = decode(rigs.make_plan(4))
     assert (
         plans.ValidateCommand().run(valid, as_json=False)
         is exit_status.Exit.OK
@@ -42,11 +42,11 @@
 def test_all_errors_are_reported_at_once() -> None:
     """Each error names its route or organisation."""
     invalid = plan_with_routes(
-        rigs.route('/a/', 'safe'),
-        rigs.route('/a/', 'safe'),
-        rigs.route('/b', 'safe', service='none'),
-        rigs.route('/c/', 'safe', target_latency_ms=9000),
-        rigs.route(
+        rigs.make_route('/a/', 'safe'),
+        rigs.make_route('/a/', 'safe'),
+        rigs.make_route('/b', 'safe', service='none'),
+        rigs.make_route('/c/', 'safe', target_latency_ms=9000),
+        rigs.make_route(
             '/d/',
             'safe',
             weighted_clusters=[{'service': 'plain', 'weight': 0}],
@@ -88,9 +88,9 @@
 ) -> None:
     """The other matching routes follow."""
     example = plan_with_routes(
-        rigs.route('/a/', 'safe'),
-        rigs.route('/a/b/', 'unsafe'),
-        rigs.route('/z/', 'safe'),
+        rigs.make_route('/a/', 'safe'),
+        rigs.make_route('/a/b/', 'unsafe'),
+        rigs.make_route('/z/', 'safe'),
     )
     command = plans.ExplainCommand()
     status = command.run(example, rigs.HOST, '/a/b/c', as_json=True)
@@ -107,11 +107,11 @@
 def test_changes_show_old_and_new_values_and_count_keys() -> None:
     """Changes of keys are counted, as keys are secrets."""
     old = plan_with_routes(
-        rigs.route('/a/', 'safe'), rigs.route('/b/', 'safe')
+        rigs.make_route('/a/', 'safe'), rigs.make_route('/b/', 'safe')
     )
     new = plan_with_routes(
-        rigs.route('/a/', 'safe', max_attempts=3),
-        rigs.route('/c/', 'safe'),
+        rigs.make_route('/a/', 'safe', max_attempts=3),
+        rigs.make_route('/c/', 'safe'),
         tenants=[{'name': 'one', 'api_keys': ['other']}],
         limits={
             'max_header_bytes': 4096,
--- a/tests/unit/test_switch_histories.py
+++ b/tests/unit/test_switch_histories.py
@@ -32,11 +32,11 @@
         world = run_with_faults(seed)
         world.faults = simulated_ranks.NO_FAULTS
         world.run(QUIET_DURATION / 2)
-        passes = world.passes
-        switched = world.switched
+        passes = world.pass_count
+        switched = world.rank_switch_count
         world.run(QUIET_DURATION / 2)
-        assert world.passes > passes + 50, seed
-        assert world.switched > switched, seed
+        assert world.pass_count > passes + 50, seed
+        assert world.rank_switch_count > switched, seed
 
 
 class WithoutHold(map_switch.MapSwitch):
