--- a/src/aspenfold/_internal/commands/apply.py
+++ b/src/aspenfold/_internal/commands/apply.py
@@ -44,7 +44,7 @@
         reason: str,
         wait: datetime.timedelta,
         as_json: bool,
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Apply the fleet file at ``path``.
 
         Raises ConfigError if the change is rejected, or if the version in
@@ -63,7 +63,7 @@
                 [{'result': 'no change', 'version': state.version}],
                 as_json=as_json,
             )
-            return exit_status.Exit.OK
+            return exit_status.ExitStatus.OK
         version = self._append(document, operations, reason)
         return self._wait_until_in_force(version, wait, as_json)
 
@@ -125,7 +125,7 @@
 
     def _wait_until_in_force(
         self, version: int, wait: datetime.timedelta, as_json: bool
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         clock = self._client.clock
         started = clock.now()
         deadline = started + wait
@@ -144,8 +144,8 @@
                 f'but it is not yet in force on: {names}',
                 file=sys.stderr,
             )
-            return exit_status.Exit.NOT_IN_FORCE
-        return exit_status.Exit.OK
+            return exit_status.ExitStatus.NOT_IN_FORCE
+        return exit_status.ExitStatus.OK
 
     def _entry_rows(self, version: int) -> list[dict[str, typing.Any]]:
         """Return a row for each entry: does it use ``version`` yet?"""
@@ -175,10 +175,10 @@
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
 
-    def run(self, path: str, *, as_json: bool) -> exit_status.Exit:
+    def run(self, path: str, *, as_json: bool) -> exit_status.ExitStatus:
         """Compare the fleet file at ``path`` with the fleet in force."""
         document = load_fleet(path)
         self._client.catch_up()
         rows = fleet_diff.diff_rows(self._client.state.document, document)
         output.print_rows(rows, as_json=as_json)
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
--- a/src/aspenfold/_internal/commands/audit.py
+++ b/src/aspenfold/_internal/commands/audit.py
@@ -25,7 +25,7 @@
         since: int,
         verdict: str,
         as_json: bool,
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Print the records that match the filters.
 
         ``since`` is an offset, ``author`` a part of the author's name.  An
@@ -40,7 +40,7 @@
             and row['offset'] >= since
         ]
         output.print_rows(rows, as_json=as_json)
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
 
     def rows(self) -> list[dict[str, typing.Any]]:
         """Return one row for each record that the log still holds."""
--- a/src/aspenfold/_internal/commands/exit_status.py
+++ b/src/aspenfold/_internal/commands/exit_status.py
@@ -8,7 +8,7 @@
 from aspenfold._internal import exceptions
 
 
-class Exit(enum.IntEnum):
+class ExitStatus(enum.IntEnum):
     """Exit status of a program."""
 
     OK = 0
@@ -19,24 +19,24 @@
     UNREACHABLE = 5
 
 
-STATUS_BY_CODE: dict[exceptions.Code, Exit] = {
-    exceptions.Code.CONFIG_CONFLICT: Exit.CONFLICT,
-    exceptions.Code.NOT_IN_FORCE: Exit.NOT_IN_FORCE,
-    exceptions.Code.APPEND_UNKNOWN: Exit.UNREACHABLE,
-    exceptions.Code.LOG_DOWN: Exit.UNREACHABLE,
-    exceptions.Code.HOST_LIST_DOWN: Exit.UNREACHABLE,
-    exceptions.Code.SETTINGS_INVALID: Exit.USAGE,
-    exceptions.Code.CONFIG_INVALID: Exit.USAGE,
+STATUS_BY_CODE: dict[exceptions.Code, ExitStatus] = {
+    exceptions.Code.CONFIG_CONFLICT: ExitStatus.CONFLICT,
+    exceptions.Code.NOT_IN_FORCE: ExitStatus.NOT_IN_FORCE,
+    exceptions.Code.APPEND_UNKNOWN: ExitStatus.UNREACHABLE,
+    exceptions.Code.LOG_DOWN: ExitStatus.UNREACHABLE,
+    exceptions.Code.HOST_LIST_DOWN: ExitStatus.UNREACHABLE,
+    exceptions.Code.SETTINGS_INVALID: ExitStatus.USAGE,
+    exceptions.Code.CONFIG_INVALID: ExitStatus.USAGE,
 }
 """Exit status for each result code; ``FAILED`` for all others."""
 
 
-def run_and_exit(command: abc.Callable[[], Exit]) -> typing.NoReturn:
+def run_and_exit(command: abc.Callable[[], ExitStatus]) -> typing.NoReturn:
     """Run ``command`` and end the process with its exit status."""
     sys.exit(run_command(command))
 
 
-def run_command(command: abc.Callable[[], Exit]) -> Exit:
+def run_command(command: abc.Callable[[], ExitStatus]) -> ExitStatus:
     """Run ``command`` and return its exit status.
 
     Prints an AspenfoldError as one line and returns the status for it.
@@ -45,6 +45,6 @@
         return command()
     except exceptions.AspenfoldError as exc:
         print(f'error: {exc}', file=sys.stderr)
-        return STATUS_BY_CODE.get(exc.failure.code, Exit.FAILED)
+        return STATUS_BY_CODE.get(exc.failure.code, ExitStatus.FAILED)
     except KeyboardInterrupt:
-        return Exit.FAILED
+        return ExitStatus.FAILED
--- a/src/aspenfold/_internal/commands/fleet_client.py
+++ b/src/aspenfold/_internal/commands/fleet_client.py
@@ -20,7 +20,7 @@
 from aspenfold._internal.network import log_client
 
 MAX_APPEND_ATTEMPTS = 3
-"""Limit on appending a record that is not found on the log."""
+"""Limit for a record that is not found on the log."""
 
 RETRY_DELAY = datetime.timedelta(milliseconds=300)
 RECORD_ID_BYTES = 12
--- a/src/aspenfold/_internal/commands/inspect.py
+++ b/src/aspenfold/_internal/commands/inspect.py
@@ -14,7 +14,7 @@
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
 
-    def run(self) -> exit_status.Exit:
+    def run(self) -> exit_status.ExitStatus:
         """Print the document; raises ConfigError if there is none yet."""
         self._client.catch_up()
         if not self._client.state.version:
@@ -26,7 +26,7 @@
                 )
             )
         output.print_json(self._client.state.document)
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
 
 
 class StatusCommand:
@@ -35,7 +35,7 @@
     def __init__(self, *, client: fleet_client.FleetClient) -> None:
         self._client = client
 
-    def run(self, *, as_json: bool) -> exit_status.Exit:
+    def run(self, *, as_json: bool) -> exit_status.ExitStatus:
         """Print the status; ``UNREACHABLE`` if an entry does not answer."""
         reports = {
             host.name: self._client.fetch_status(host)
@@ -46,8 +46,8 @@
         else:
             _print_reports(reports)
         if any(report is None for report in reports.values()):
-            return exit_status.Exit.UNREACHABLE
-        return exit_status.Exit.OK
+            return exit_status.ExitStatus.UNREACHABLE
+        return exit_status.ExitStatus.OK
 
 
 JsonObject = dict[str, typing.Any]
@@ -124,7 +124,7 @@
         *,
         entry: str,
         as_json: bool,
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Print the rules that were tried and the endpoints.
 
         Uses the first entry if ``entry`` is empty.  Raises ConfigError if
@@ -151,14 +151,14 @@
         )
         if explanation is None:
             print(f'{candidates[0].name} does not answer')
-            return exit_status.Exit.UNREACHABLE
+            return exit_status.ExitStatus.UNREACHABLE
         if as_json:
             output.print_json(explanation)
-            return exit_status.Exit.OK
+            return exit_status.ExitStatus.OK
         output.print_rows(explanation['rules'], as_json=False)
         print(
             f'\npriority: {explanation["priority"]}; '
             f'{explanation["policies"]}\n'
         )
         output.print_rows(explanation['endpoints'], as_json=False)
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
--- a/src/aspenfold/_internal/commands/membership.py
+++ b/src/aspenfold/_internal/commands/membership.py
@@ -22,7 +22,7 @@
         *,
         reason: str,
         as_json: bool,
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Append the endpoint's new state to the log.
 
         Raises ConfigError if there is no such endpoint to drain.
@@ -48,7 +48,7 @@
             ],
             as_json=as_json,
         )
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
 
     def _check_endpoint(self, endpoint: str) -> None:
         """Raise ConfigError if the host list lacks the endpoint.
--- a/src/aspenfold/_internal/commands/plans.py
+++ b/src/aspenfold/_internal/commands/plans.py
@@ -27,7 +27,7 @@
 NO_WAIT = datetime.timedelta(0)
 
 MAX_READ_ATTEMPTS = 3
-"""Limit on reading a history that is trimmed while it is read."""
+"""Limit for a history that is trimmed while it is read."""
 
 
 def load_plan(
@@ -35,7 +35,7 @@
 ) -> Plan:
     """Return the plan in a file.
 
-    Raises ConfigError if the file is unreadable or no valid plan.
+    Raises ConfigError if the file is unreadable or not a valid plan.
     """
     try:
         return decode(pathlib.Path(path).read_bytes())
@@ -104,14 +104,14 @@
 class ValidateCommand:
     """Checks a plan for errors across its fields."""
 
-    def run(self, plan: Plan, *, as_json: bool) -> exit_status.Exit:
+    def run(self, plan: Plan, *, as_json: bool) -> exit_status.ExitStatus:
         """Print all errors, or a summary if there are none."""
         errors = find_errors(plan)
         if errors:
             output.print_rows(errors, as_json=as_json)
-            return exit_status.Exit.USAGE
+            return exit_status.ExitStatus.USAGE
         output.print_rows([_summary_row(plan)], as_json=as_json)
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
 
 
 def _summary_row(plan: Plan) -> Row:
@@ -129,7 +129,7 @@
 
     def run(
         self, plan: Plan, host: str, path: str, *, as_json: bool
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Print the matching routes, the longest prefix first.
 
         Returns ``FAILED`` if no route matches.
@@ -145,9 +145,9 @@
         rows = [_route_row(route, route is used) for route in matching]
         output.print_rows(rows, as_json=as_json)
         return (
-            exit_status.Exit.OK
+            exit_status.ExitStatus.OK
             if used is not None
-            else exit_status.Exit.FAILED
+            else exit_status.ExitStatus.FAILED
         )
 
 
@@ -267,7 +267,7 @@
 
     def run(
         self, plans: abc.Sequence[StoredPlan], *, as_json: bool
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Print a row for each change in ``plans``, oldest first."""
         rows: list[Row] = []
         before: Plan | None = None
@@ -285,7 +285,7 @@
             ]
             before = stored.plan
         output.print_rows(rows, as_json=as_json)
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
 
 
 async def read_status(platform: ports.Platform) -> dict[str, list[Row]]:
@@ -333,13 +333,13 @@
 
     def run(
         self, sections: dict[str, list[Row]], *, as_json: bool
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Print each section under its name."""
         if as_json:
             output.print_json(sections)
-            return exit_status.Exit.OK
+            return exit_status.ExitStatus.OK
         for name, rows in sections.items():
             print(name.upper())
             output.print_rows(rows, as_json=False)
             print()
-        return exit_status.Exit.OK
+        return exit_status.ExitStatus.OK
--- a/src/aspenfold/_internal/commands/serve.py
+++ b/src/aspenfold/_internal/commands/serve.py
@@ -21,9 +21,9 @@
     def command(settings: str) -> None:
         """Run the server with the JSON file SETTINGS until SIGTERM."""
 
-        def serve() -> exit_status.Exit:
+        def serve() -> exit_status.ExitStatus:
             run(settings_module.load(settings, cls))
-            return exit_status.Exit.OK
+            return exit_status.ExitStatus.OK
 
         exit_status.run_and_exit(serve)
 
--- a/src/aspenfold/_internal/commands/trace.py
+++ b/src/aspenfold/_internal/commands/trace.py
@@ -90,14 +90,18 @@
 
     def run(
         self, request_id: str, paths: abc.Sequence[str], *, as_json: bool
-    ) -> exit_status.Exit:
+    ) -> exit_status.ExitStatus:
         """Print the request's lines; ``FAILED`` if there are none."""
         lines = read_logs(paths)
         matching = request_lines(lines, request_id)
         output.print_rows([_row(line) for line in matching], as_json=as_json)
         for kind, count in sorted(count_dropped_lines(lines).items()):
             print(f'note: {count} lines of {kind} were dropped under load')
-        return exit_status.Exit.OK if matching else exit_status.Exit.FAILED
+        return (
+            exit_status.ExitStatus.OK
+            if matching
+            else exit_status.ExitStatus.FAILED
+        )
 
 
 def _row(line: LogLine) -> dict[str, object]:
--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -16,7 +16,7 @@
     exit_status.run_and_exit(_serve)
 
 
-def _serve() -> exit_status.Exit:
+def _serve() -> exit_status.ExitStatus:
     cfg = settings.load_gateway(settings.path_from_environment())
     events.configure_output()
     platform = factory.create_platform(cfg.store)
@@ -31,4 +31,4 @@
         await process.run()
 
     asyncio.run(run())
-    return exit_status.Exit.OK
+    return exit_status.ExitStatus.OK
--- a/src/aspenfold/cli/operator.py
+++ b/src/aspenfold/cli/operator.py
@@ -37,10 +37,10 @@
     def validate(self, fleet_file: str) -> None:
         """Check a fleet file.  Example: aspenfold validate fleet.json"""
 
-        def check() -> exit_status.Exit:
+        def check() -> exit_status.ExitStatus:
             apply_module.load_fleet(fleet_file)
             print(f'{fleet_file} is a valid fleet')
-            return exit_status.Exit.OK
+            return exit_status.ExitStatus.OK
 
         exit_status.run_and_exit(check)
 
--- a/src/aspenfold/cli/plan.py
+++ b/src/aspenfold/cli/plan.py
@@ -47,7 +47,7 @@
         Uses the plan in --plan_file, or else the newest one in the store.
         """
 
-        def run() -> exit_status.Exit:
+        def run() -> exit_status.ExitStatus:
             if plan_file:
                 plan = plans.load_plan(plan_file, config.decode)
             else:
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -16,7 +16,7 @@
     sys.exit(exit_status.run_command(_serve))
 
 
-def _serve() -> exit_status.Exit:
+def _serve() -> exit_status.ExitStatus:
     cfg = settings.load_rank_agent(settings.path_from_environment())
     events.configure_output()
 
@@ -31,4 +31,4 @@
         await agent.run()
 
     asyncio.run(run())
-    return exit_status.Exit.OK
+    return exit_status.ExitStatus.OK
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -176,7 +176,7 @@
     ended = subprocess.run(
         PROGRAM, env=env, capture_output=True, text=True, timeout=30
     )
-    assert ended.returncode == exit_status.Exit.USAGE
+    assert ended.returncode == exit_status.ExitStatus.USAGE
     assert '[5000]' in ended.stderr
     assert field in ended.stderr
     assert 'try:' in ended.stderr
@@ -208,7 +208,7 @@
             text=True,
             timeout=30,
         )
-    assert ended.returncode == exit_status.Exit.FAILED
+    assert ended.returncode == exit_status.ExitStatus.FAILED
     assert '[5001]' in ended.stderr
     assert f'{ADDRESS}:{ports[field]}' in ended.stderr
     assert field in ended.stderr
--- a/tests/functional/test_plan_program.py
+++ b/tests/functional/test_plan_program.py
@@ -49,7 +49,7 @@
             endpoint_records.TOPIC, 'w-1', worker.entry('plain', 'draining')
         )
         status, out, _ = await run(port, 'status', '--json')
-        assert status == exit_status.Exit.OK
+        assert status == exit_status.ExitStatus.OK
         parts = json.loads(out)
         assert parts['plan'][0]['version'] == 5
         assert parts['endpoints'][0]['state'] == 'leaving'
@@ -60,7 +60,7 @@
             (5, f'route {rigs.HOST}/new/ added'),
         ]
         status, out, _ = await run(port, 'explain', rigs.HOST, '/new/x')
-        assert status == exit_status.Exit.OK
+        assert status == exit_status.ExitStatus.OK
         assert '/new/' in out
         rig.store.drop_history(config.TOPIC)
         status, out, _ = await run(port, 'audit', '--json')
@@ -68,7 +68,7 @@
         await worker.stop()
         await rig.store.stop()
         status, _, err = await run(port, 'status')
-        assert status == exit_status.Exit.UNREACHABLE
+        assert status == exit_status.ExitStatus.UNREACHABLE
         assert 'store does not answer' in err
 
     asyncio.run(scenario())
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -232,6 +232,6 @@
             text=True,
             timeout=30,
         )
-        assert result.returncode == exit_status.Exit.USAGE
+        assert result.returncode == exit_status.ExitStatus.USAGE
         assert '[5000]' in result.stderr
         assert field in result.stderr
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -35,7 +35,7 @@
 
 def run_apply(
     log: operators.FlakyLog, path: str, base: int | None = None
-) -> exit_status.Exit:
+) -> exit_status.ExitStatus:
     """Apply the fleet at ``path`` as a new operator."""
     command = apply.ApplyCommand(client=operators.operator(log))
     return command.run(
@@ -92,7 +92,8 @@
     log.lose_answers = lost_responses
     log.fail_appends = failed_appends
     assert (
-        run_apply(log, write_fleet(tmp_path, 'first')) is exit_status.Exit.OK
+        run_apply(log, write_fleet(tmp_path, 'first'))
+        is exit_status.ExitStatus.OK
     )
     assert fleet_name(log) == 'first'
     rows = audit.AuditCommand(client=operators.operator(log)).rows()
--- a/tests/unit/test_plans.py
+++ b/tests/unit/test_plans.py
@@ -32,7 +32,7 @@
     valid = decode(rigs.plan(4))
     assert (
         plans.ValidateCommand().run(valid, as_json=False)
-        is exit_status.Exit.OK
+        is exit_status.ExitStatus.OK
     )
     text = capsys.readouterr().out
     assert 'version' in text
@@ -94,14 +94,14 @@
     )
     command = plans.ExplainCommand()
     status = command.run(example, rigs.HOST, '/a/b/c', as_json=True)
-    assert status is exit_status.Exit.OK
+    assert status is exit_status.ExitStatus.OK
     rows = json.loads(capsys.readouterr().out)
     assert [(r['prefix'], r['used']) for r in rows] == [
         ('/a/b/', True),
         ('/a/', False),
     ]
     status = command.run(example, rigs.HOST, '/none', as_json=True)
-    assert status is exit_status.Exit.FAILED
+    assert status is exit_status.ExitStatus.FAILED
 
 
 def test_changes_show_old_and_new_values_and_count_keys() -> None:
--- a/tests/unit/test_trace.py
+++ b/tests/unit/test_trace.py
@@ -44,12 +44,15 @@
     """It also reports dropped lines, and fails for an unknown id."""
     command = trace.TraceCommand()
     paths = write_logs(tmp_path)
-    assert command.run('a', paths, as_json=False) is exit_status.Exit.OK
+    assert command.run('a', paths, as_json=False) is exit_status.ExitStatus.OK
     printed = capsys.readouterr().out
     assert 'CALL_FAILED' in printed
     assert 'code=1102' in printed
     assert '4 lines of x were dropped' in printed
-    assert command.run('zz', paths, as_json=False) is exit_status.Exit.FAILED
+    assert (
+        command.run('zz', paths, as_json=False)
+        is exit_status.ExitStatus.FAILED
+    )
 
 
 def test_missing_log_file_is_named() -> None:
