--- a/tests/functional/test_programs.py
+++ b/tests/functional/test_programs.py
@@ -9,7 +9,7 @@
 import threading
 
 import pytest
-from tests.lib import client as client_module
+from tests.lib import deployment_client
 import urllib3
 
 from aspenfold_standins import launcher
@@ -75,7 +75,7 @@
     deployment: launcher.Deployment,
 ) -> None:
     """Covers oversized bodies, unknown paths and missing credentials."""
-    client = client_module.Client(deployment)
+    client = deployment_client.DeploymentClient(deployment)
     large = client.post(0, '/services/till/ping', {'x': 'y' * 1_100_000})
     assert (large.status, large.code) == (413, 1004)
     unknown = client.post(0, '/nothing/here', {})
@@ -104,7 +104,7 @@
         pool = urllib3.PoolManager(retries=False)
         start.wait()
         url = entry.url + '/services/till/ping'
-        headers = client_module.HEADERS
+        headers = deployment_client.HEADERS
         return pool.request('POST', url, json={}, headers=headers).status
 
     with concurrent.futures.ThreadPoolExecutor(CONCURRENT_CALLERS) as executor:
