--- a/bench/model.py
+++ b/bench/model.py
@@ -133,7 +133,7 @@
         policies: dict[str, str] | None = None,
         organisations: list[dict[str, typing.Any]] | None = None,
     ) -> None:
-        self.sim = sim_module.Sim(seed=seed)
+        self.sim = sim_module.Simulation(seed=seed)
         self.done: list[Done] = []
         self.attempts = 0
         self._calls = itertools.count()
@@ -192,7 +192,7 @@
             repeatable=True,
             streamed=streamed,
             body=str(work_ms).encode(),
-            deadline=now + deadline_ms * sim_module.MS,
+            deadline=now + deadline_ms * sim_module.MILLISECOND,
             received_at=now,
         )
         self._pending[call.call_id] = call
@@ -254,8 +254,8 @@
 
     def _ended(self, call_id: str, failure: exceptions.Failure | None) -> None:
         call = self._pending.pop(call_id)
-        sent = (call.received_at - sim_module.START) / sim_module.MS
-        taken = (self.sim.now - call.received_at) / sim_module.MS
+        sent = (call.received_at - sim_module.START) / sim_module.MILLISECOND
+        taken = (self.sim.now - call.received_at) / sim_module.MILLISECOND
         self.done.append(
             Done(
                 organisation=call.organisation,
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -91,7 +91,7 @@
         repeatable=True,
         streamed=False,
         body=b'{}',
-        deadline=now + 1000 * sim_module.MS,
+        deadline=now + 1000 * sim_module.MILLISECOND,
         received_at=now,
     )
     (opened,) = kernel.submit(call, now)
--- a/standins/aspenfold_standins/sim.py
+++ b/standins/aspenfold_standins/sim.py
@@ -1,4 +1,4 @@
-"""A driven clock and an event queue; the same seed gives the same run."""
+"""A discrete-event simulation with a virtual clock and a seeded RNG."""
 
 from collections import abc
 import datetime
@@ -9,77 +9,83 @@
 from aspenfold._internal.kernel import clock
 
 START = datetime.datetime(2026, 4, 1, tzinfo=datetime.timezone.utc)
-MS = clock.MILLISECOND
-Work = abc.Callable[[], None]
+MILLISECOND = clock.MILLISECOND
+Callback = abc.Callable[[], None]
 
 
-class Sim:
-    """Runs work at its time; nothing waits in real time."""
+class Simulation:
+    """Runs callbacks in the order of their virtual time.
+
+    The same seed gives the same run.
+    """
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = START
-        self._queue: list[tuple[datetime.datetime, int, Work]] = []
+        self._queue: list[tuple[datetime.datetime, int, Callback]] = []
         self._order = itertools.count()
 
     @property
     def ms(self) -> int:
-        """Milliseconds since the start."""
+        """Milliseconds of virtual time since the start."""
         return clock.to_ms(self.now - START)
 
-    def after(self, ms: float, work: Work) -> None:
-        """Run ``work`` in ``ms`` milliseconds."""
-        when = self.now + ms * MS
-        heapq.heappush(self._queue, (when, next(self._order), work))
+    def after(self, ms: float, callback: Callback) -> None:
+        """Schedule ``callback`` in ``ms`` milliseconds."""
+        when = self.now + ms * MILLISECOND
+        heapq.heappush(self._queue, (when, next(self._order), callback))
 
-    def every(self, ms: float, work: Work) -> None:
-        """Run ``work`` now and then every ``ms`` milliseconds."""
+    def every(self, ms: float, callback: Callback) -> None:
+        """Schedule ``callback`` at once and then every ``ms`` milliseconds."""
 
-        def again() -> None:
-            work()
-            self.after(ms, again)
+        def repeat() -> None:
+            callback()
+            self.after(ms, repeat)
 
-        self.after(0, again)
+        self.after(0, repeat)
 
     def run(self, ms: float) -> None:
-        """Run everything that is due within ``ms`` milliseconds."""
-        end = self.now + ms * MS
+        """Run all callbacks that are due within ``ms`` milliseconds."""
+        end = self.now + ms * MILLISECOND
         while self._queue and self._queue[0][0] <= end:
-            self.now, _, work = heapq.heappop(self._queue)
-            work()
+            self.now, _, callback = heapq.heappop(self._queue)
+            callback()
         self.now = end
 
 
-class Node:
-    """A process that can be frozen or killed."""
+class SimulatedProcess:
+    """A process that can be frozen, thawed or killed."""
 
-    def __init__(self, *, sim: Sim, name: str, zone: str) -> None:
+    def __init__(self, *, sim: Simulation, name: str, zone: str) -> None:
         self.sim = sim
         self.name = name
         self.zone = zone
         self.alive = True
         self.frozen = False
-        self._held: list[Work] = []
+        self._deferred: list[Callback] = []
+
+    def dispatch(self, callback: Callback) -> None:
+        """Run ``callback`` in the process.
 
-    def do(self, work: Work) -> None:
-        """Run ``work`` in the process: later if frozen, never if dead."""
+        A frozen process runs it once thawed; a dead one never does.
+        """
         if not self.alive:
             return
         if self.frozen:
-            self._held.append(work)
+            self._deferred.append(callback)
             return
-        work()
+        callback()
 
     def freeze(self) -> None:
-        """Stop the process without its knowledge."""
+        """Suspend the process, as SIGSTOP does."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Let it go on with what has come in since, in order."""
+        """Resume the process and run the deferred callbacks in order."""
         self.frozen = False
-        held, self._held = self._held, []
-        for work in held:
-            self.do(work)
+        deferred, self._deferred = self._deferred, []
+        for callback in deferred:
+            self.dispatch(callback)
 
     def kill(self) -> None:
         """End the process."""
@@ -87,33 +93,33 @@
 
 
 class Network:
-    """Who reaches whom; ``jitter`` delays, ``doubled`` repeats messages."""
+    """Connectivity of zones, with message delay, duplication and loss."""
 
-    def __init__(self, *, sim: Sim) -> None:
+    def __init__(self, *, sim: Simulation) -> None:
         self.sim = sim
-        self.cuts: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.jitter_ms = 2.0
-        self.doubled = 0.0
-        self.lost = 0.0
+        self.duplicate_probability = 0.0
+        self.loss_probability = 0.0
 
-    def reaches(self, one: str, two: str) -> bool:
-        """Return whether zone ``one`` reaches zone ``two``."""
-        return frozenset((one, two)) not in self.cuts
+    def is_connected(self, zone_a: str, zone_b: str) -> bool:
+        """Return whether messages pass between two zones."""
+        return frozenset((zone_a, zone_b)) not in self.partitions
 
-    def cut(self, one: str, two: str) -> None:
-        """Separate two zones, or a zone and ``platform``."""
-        self.cuts.add(frozenset((one, two)))
+    def partition(self, zone_a: str, zone_b: str) -> None:
+        """Disconnect two zones, or a zone and ``platform``."""
+        self.partitions.add(frozenset((zone_a, zone_b)))
 
     def heal(self) -> None:
-        """End all cuts."""
-        self.cuts.clear()
+        """Remove all partitions."""
+        self.partitions.clear()
 
-    def delay(self) -> float:
-        """Return a message's delay in milliseconds."""
+    def draw_delay_ms(self) -> float:
+        """Return a random delay for one message, in milliseconds."""
         return 1.0 + self.sim.rng.random() * self.jitter_ms
 
-    def copies(self) -> int:
-        """Return how often a message arrives."""
-        if self.sim.rng.random() < self.lost:
+    def draw_copies(self) -> int:
+        """Return how many times one message arrives: 0, 1 or 2."""
+        if self.sim.rng.random() < self.loss_probability:
             return 0
-        return 2 if self.sim.rng.random() < self.doubled else 1
+        return 2 if self.sim.rng.random() < self.duplicate_probability else 1
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -119,7 +119,7 @@
 
     def freeze_node(self) -> None:
         """Freeze an agent or an entry for a while."""
-        nodes: list[sim_module.Node] = [
+        nodes: list[sim_module.SimulatedProcess] = [
             *self._alive_agents(''),
             *[e for e in self.world.entries.values() if e.alive],
         ]
@@ -161,8 +161,8 @@
     def bad_network(self) -> None:
         """Make messages late, out of order, lost or doubled."""
         self.world.network.jitter_ms = self.rng.choice((2.0, 60.0, 400.0))
-        self.world.network.doubled = self.rng.choice((0.0, 0.4))
-        self.world.network.lost = self.rng.choice((0.0, 0.2))
+        self.world.network.duplicate_probability = self.rng.choice((0.0, 0.4))
+        self.world.network.loss_probability = self.rng.choice((0.0, 0.2))
 
     def lose_answers(self) -> None:
         """Have an endpoint run calls whose answers are lost."""
@@ -229,8 +229,8 @@
         world = self.world
         world.network.heal()
         world.network.jitter_ms = 2.0
-        world.network.doubled = 0.0
-        world.network.lost = 0.0
+        world.network.duplicate_probability = 0.0
+        world.network.loss_probability = 0.0
         world.log.down = False
         world.append_ms = 4.0
         for node in [*world.agents.values(), *world.entries.values()]:
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -78,7 +78,7 @@
     return [b'%s:%d' % (body, i) for i in range(len(body) % 7 + 4)]
 
 
-class EndpointNode(sim_module.Node):
+class EndpointNode(sim_module.SimulatedProcess):
     """A fake endpoint: runs what it is handed and records it.
 
     ``lose_answers``: so many next runs happen but are not answered.
@@ -144,12 +144,12 @@
         work: abc.Callable[[], list[agent_actions.Action]],
     ) -> None:
         def on_agent() -> None:
-            agent.do(lambda: agent.apply(work()))
+            agent.dispatch(lambda: agent.apply(work()))
 
-        self.sim.after(self.service_ms + ms, lambda: self.do(on_agent))
+        self.sim.after(self.service_ms + ms, lambda: self.dispatch(on_agent))
 
 
-class AgentNode(sim_module.Node):
+class AgentNode(sim_module.SimulatedProcess):
     """One incarnation of an agent."""
 
     def __init__(
@@ -163,7 +163,7 @@
             answer_memory=1 << 20,
         )
         self.legs: dict[int, Leg] = {}
-        self.sim.every(20, lambda: self.do(self._tick))
+        self.sim.every(20, lambda: self.dispatch(self._tick))
 
     @property
     def endpoint(self) -> EndpointNode:
@@ -188,7 +188,7 @@
                     self.legs.pop(number).close()
                 case agent_actions.CallEndpoint(request=req):
                     self.sim.after(
-                        self.world.network.delay(),
+                        self.world.network.draw_delay_ms(),
                         lambda req=req: self.endpoint.run(self, req),
                     )
                 case agent_actions.CancelEndpoint(attempt_id=attempt):
@@ -218,16 +218,18 @@
     @property
     def up(self) -> bool:
         """Whether both ends live and reach each other."""
-        reaches = self._world.network.reaches
-        return self.agent.alive and reaches(self.entry.zone, self.agent.zone)
+        is_connected = self._world.network.is_connected
+        return self.agent.alive and is_connected(
+            self.entry.zone, self.agent.zone
+        )
 
     def send(self, frame: frames.Frame) -> None:
         """Carry a frame: late, out of order, twice."""
         if self._silent or not self.up:
             return
         network = self._world.network
-        for _ in range(max(1, network.copies())):
-            delay = network.delay()
+        for _ in range(max(1, network.draw_copies())):
+            delay = network.draw_delay_ms()
             self._last_ms = max(self._last_ms, self._world.sim.ms + delay)
             self._world.sim.after(
                 delay, lambda: self.entry.frame(self.entry_leg, frame)
@@ -245,14 +247,14 @@
 
     def drop(self) -> None:
         """The agent notices that the reader is gone."""
-        self.agent.do(
+        self.agent.dispatch(
             lambda: self.agent.apply(
                 self.agent.kernel.on_stream_closed(self.number)
             )
         )
 
 
-class EntryNode(sim_module.Node):
+class EntryNode(sim_module.SimulatedProcess):
     """An entry's kernel and its I/O by the scripted network."""
 
     def __init__(
@@ -277,16 +279,16 @@
         # Entries read the log at different moments.
         self.sim.after(
             world.sim.rng.random() * POLL_MS,
-            lambda: self.sim.every(POLL_MS, lambda: self.do(self._poll)),
+            lambda: self.sim.every(POLL_MS, lambda: self.dispatch(self._poll)),
         )
-        self.sim.every(10, lambda: self.do(self._tick))
-        self.sim.every(200, lambda: self.do(self._ask_reports))
+        self.sim.every(10, lambda: self.dispatch(self._tick))
+        self.sim.every(200, lambda: self.dispatch(self._ask_reports))
 
     @property
     def platform_up(self) -> bool:
-        """Whether this entry reaches a working platform."""
-        reaches = self.world.network.reaches(self.zone, 'platform')
-        return reaches and not self.world.log.down
+        """Whether this entry can use the platform."""
+        connected = self.world.network.is_connected(self.zone, 'platform')
+        return connected and not self.world.log.down
 
     def submit(self, submission: Submission) -> None:
         """Take a caller's request."""
@@ -296,17 +298,17 @@
             self.submissions[call.call_id] = submission
             self.apply(self.kernel.submit(call, self.sim.now))
 
-        self.do(work)
+        self.dispatch(work)
 
     def frame(self, leg: int, frame: frames.Frame) -> None:
         """A frame arrived."""
-        self.do(
+        self.dispatch(
             lambda: self.apply(self.kernel.on_frame(leg, frame, self.sim.now))
         )
 
     def leg_lost(self, leg: int, sent: bool) -> None:
         """A leg broke."""
-        self.do(
+        self.dispatch(
             lambda: self.apply(
                 self.kernel.on_stream_lost(leg, sent, self.sim.now)
             )
@@ -341,12 +343,12 @@
         if not agent.alive:
             self.sim.after(2, lambda: self.leg_lost(action.stream_id, False))
             return
-        if not world.network.reaches(self.zone, agent.zone):
+        if not world.network.is_connected(self.zone, agent.zone):
             self.sim.after(
                 CUT_NOTICED_MS, lambda: self.leg_lost(action.stream_id, False)
             )
             return
-        copies = world.network.copies()
+        copies = world.network.draw_copies()
         if not copies:
             self.sim.after(50, lambda: self.leg_lost(action.stream_id, True))
         for copy in range(copies):
@@ -359,8 +361,8 @@
             )
             world.legs.append(leg)
             self.sim.after(
-                world.network.delay(),
-                lambda leg=leg: agent.do(
+                world.network.draw_delay_ms(),
+                lambda leg=leg: agent.dispatch(
                     lambda: agent.execute(leg, action.request)
                 ),
             )
@@ -388,7 +390,7 @@
 
         self.sim.after(
             self.world.append_ms * (0.5 + self.sim.rng.random()),
-            lambda: self.do(work),
+            lambda: self.dispatch(work),
         )
 
     def _retry_append(
@@ -419,12 +421,12 @@
             agent = self.world.agents.get(known.name)
             if agent is None or not agent.alive:
                 continue
-            if not self.world.network.reaches(self.zone, agent.zone):
+            if not self.world.network.is_connected(self.zone, agent.zone):
                 continue
             newest = self.kernel.fleet_reader.state.next_offset - 1
             order = self.kernel.view.drain_order(known.name, newest)
             self.sim.after(
-                self.world.network.delay(),
+                self.world.network.draw_delay_ms(),
                 lambda agent=agent, order=order: self._report(agent, order),
             )
 
@@ -433,8 +435,8 @@
             agent.kernel.on_drain_order(order)
             load = agent.kernel.load
             self.sim.after(
-                self.world.network.delay(),
-                lambda: self.do(
+                self.world.network.draw_delay_ms(),
+                lambda: self.dispatch(
                     lambda: self.kernel.view.update_report(
                         agent.name,
                         agent.kernel.incarnation,
@@ -444,7 +446,7 @@
                 ),
             )
 
-        agent.do(on_agent)
+        agent.dispatch(on_agent)
 
 
 class SimulatedCluster:
@@ -453,7 +455,7 @@
     def __init__(
         self, *, seed: int, entries: int = 2, endpoints: int = 2
     ) -> None:
-        self.sim = sim_module.Sim(seed=seed)
+        self.sim = sim_module.Simulation(seed=seed)
         self.network = sim_module.Network(sim=self.sim)
         self.log = fake_log.FakeLog()
         self.append_ms = 4.0
@@ -543,9 +545,9 @@
             if agent.kernel.may_exit:
                 self.sim.after(EXIT_MS, lambda: self._exit(agent))
             else:
-                self.sim.after(20, lambda: agent.do(exit_if_done))
+                self.sim.after(20, lambda: agent.dispatch(exit_if_done))
 
-        agent.do(leave)
+        agent.dispatch(leave)
 
     def _exit(self, agent: AgentNode) -> None:
         if self.agents[agent.name] is agent and agent.alive:
@@ -559,17 +561,17 @@
             if entry.kernel.may_exit:
                 self.sim.after(EXIT_MS, lambda: self.kill_entry(name))
             else:
-                self.sim.after(20, lambda: entry.do(exit_if_done))
+                self.sim.after(20, lambda: entry.dispatch(exit_if_done))
 
         def leave() -> None:
             entry.kernel.draining = True
             exit_if_done()
 
-        entry.do(leave)
+        entry.dispatch(leave)
 
     def cut(self, one: str, two: str) -> None:
         """Separate two zones; legs between them break after a while."""
-        self.network.cut(one, two)
+        self.network.partition(one, two)
         self._break_legs(
             lambda entry, agent: {entry.zone, agent.zone} == {one, two},
             CUT_NOTICED_MS,
@@ -659,7 +661,7 @@
             repeatable=operation != 'job',
             streamed=streamed,
             body=body,
-            deadline=self.sim.now + deadline_ms * sim_module.MS,
+            deadline=self.sim.now + deadline_ms * sim_module.MILLISECOND,
             received_at=self.sim.now,
             key=key,
         )
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -70,7 +70,7 @@
         return min(later, default=None)
 
 
-class AgentProcess(sim_module.Node):
+class AgentProcess(sim_module.SimulatedProcess):
     """One incarnation of a rank's agent, with the leader on rank 0."""
 
     def __init__(
@@ -92,7 +92,7 @@
             self.leader = leader_machine.LeaderMachine(
                 group=GROUP, ranks=world.ranks, rng=world.sim.rng
             )
-        self.sim.every(20, lambda: self.do(self._tick))
+        self.sim.every(20, lambda: self.dispatch(self._tick))
 
     def receive(self, message: messages.Message) -> None:
         """Take a message for the rank or for the leader."""
@@ -133,11 +133,11 @@
                 taken = False
             work = self._taken if taken else self._refused
             self.sim.after(
-                self.world.network.delay(),
-                lambda: self.do(lambda: work(action)),
+                self.world.network.draw_delay_ms(),
+                lambda: self.dispatch(lambda: work(action)),
             )
 
-        self.sim.after(self.world.network.delay() + ms, arrive)
+        self.sim.after(self.world.network.draw_delay_ms() + ms, arrive)
 
     def _refused(self, action: group_member.EngineOrder) -> None:
         self.apply(self.machine.on_order_failed(action))
@@ -162,7 +162,7 @@
     def __init__(
         self, *, seed: int, ranks: int = 3, checks_fencing: bool = True
     ) -> None:
-        self.sim = sim_module.Sim(seed=seed)
+        self.sim = sim_module.Simulation(seed=seed)
         self.network = sim_module.Network(sim=self.sim)
         self.ranks = ranks
         self.checks_fencing = checks_fencing
@@ -216,11 +216,11 @@
         granting = message.kind is messages.Kind.GRANT
         if granting and message.target in self.deaf:
             return
-        for _ in range(self.network.copies()):
+        for _ in range(self.network.draw_copies()):
             target = self.agents[message.target]
             self.sim.after(
-                self.network.delay(),
-                lambda target=target: target.do(
+                self.network.draw_delay_ms(),
+                lambda target=target: target.dispatch(
                     lambda: target.receive(message)
                 ),
             )
@@ -321,8 +321,10 @@
                 self.sim.after(self.rng.uniform(50, 2500), agent.thaw)
             case 4:
                 world.network.jitter_ms = self.rng.choice((2.0, 50.0, 300.0))
-                world.network.lost = self.rng.choice((0.0, 0.3))
-                world.network.doubled = self.rng.choice((0.0, 0.4))
+                world.network.loss_probability = self.rng.choice((0.0, 0.3))
+                world.network.duplicate_probability = self.rng.choice(
+                    (0.0, 0.4)
+                )
             case 5:
                 world.stalled.add(rank)
                 self.sim.after(
@@ -352,8 +354,8 @@
         world.cut.clear()
         world.lost_order_answers = 0.0
         world.network.jitter_ms = 2.0
-        world.network.lost = 0.0
-        world.network.doubled = 0.0
+        world.network.loss_probability = 0.0
+        world.network.duplicate_probability = 0.0
         world.stalled.clear()
         for agent in world.agents:
             if agent.frozen:
--- a/tests/lib/steps.py
+++ b/tests/lib/steps.py
@@ -28,7 +28,7 @@
     marks: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def node(scene: Scene, name: str) -> sim_module.Node:
+def node(scene: Scene, name: str) -> sim_module.SimulatedProcess:
     """Return an entry, an endpoint, or the agent of an endpoint."""
     if name.startswith('agent of '):
         return scene.world.agents[name.removeprefix('agent of ')]
@@ -114,7 +114,7 @@
 def _heal(scene: Scene) -> None:
     scene.world.network.heal()
     scene.world.network.jitter_ms = 2.0
-    scene.world.network.doubled = 0.0
+    scene.world.network.duplicate_probability = 0.0
 
 
 @when('the platform goes down')
@@ -155,7 +155,7 @@
 
 @when('every message arrives twice')
 def _twice(scene: Scene) -> None:
-    scene.world.network.doubled = 1.0
+    scene.world.network.duplicate_probability = 1.0
 
 
 @when('every open leg breaks')
@@ -242,7 +242,9 @@
 
 @then(parse('nothing started at {name} later than {ms:d} ms after it left'))
 def _no_start(scene: Scene, name: str, ms: int) -> None:
-    limit = sim_module.START + (scene.marks[name] + ms) * sim_module.MS
+    limit = (
+        sim_module.START + (scene.marks[name] + ms) * sim_module.MILLISECOND
+    )
     late = [
         run
         for run in scene.world.executions
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -72,7 +72,7 @@
         digest: bytes,
     ) -> None:
         """An entry sends or joins an attempt."""
-        deadline = self.now + deadline_ms * sim_module.MS
+        deadline = self.now + deadline_ms * sim_module.MILLISECOND
         if attempt in TICKETED:
             # Each submission has its own deadline within the ticket's life.
             mode = frames.Mode.RUN
@@ -100,7 +100,7 @@
             repeatable=False,
             streamed=False,
             deadline=deadline,
-            join_timeout=wait_ms * sim_module.MS,
+            join_timeout=wait_ms * sim_module.MILLISECOND,
         )
         self._apply(self.kernel.execute(self.stream_id, request, self.now))
 
@@ -135,7 +135,7 @@
     @stateful.rule(ms=st.sampled_from([10, 150, 6000]))
     def tick(self, ms: int) -> None:
         """Time passes."""
-        self.now += ms * sim_module.MS
+        self.now += ms * sim_module.MILLISECOND
         self._apply(self.kernel.tick(self.now))
 
     @stateful.rule()
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -120,7 +120,7 @@
     state = state_module.FleetState()
     feed(state, grant('entry-a', 0))
     client = lease_client.LeaseClient(holder='entry-b')
-    ttl = 1000 * sim_module.MS
+    ttl = 1000 * sim_module.MILLISECOND
     now = sim_module.START
     assert client.request(state, LEASE, ttl, 'x', now) is None
     assert client.request(state, LEASE, ttl, 'x', now + ttl / 2) is None
