--- a/src/aspenfold/cli/agent.py
+++ b/src/aspenfold/cli/agent.py
@@ -1,4 +1,4 @@
-"""``aspenfold-agent SETTINGS``: runs on the host of an endpoint."""
+"""``aspenfold-agent SETTINGS``: runs next to one endpoint."""
 
 from aspenfold._internal.commands import serve
 from aspenfold._internal.models import settings
