--- a/bench/entry_edge.py
+++ b/bench/entry_edge.py
@@ -141,10 +141,12 @@
         )
         try:
             deployment.start()
-            deployment.operate('apply', str(deployment.fleet_file))
-            deployment.wait_for('all ranks', deployment.steps)
-            entry = deployment.children[deployment.entries()[0]]
-            agent = deployment.children['engrave-0-0']
+            deployment.run_operator_command(
+                'apply', str(deployment.fleet_file)
+            )
+            deployment.wait_for('all ranks', deployment.all_ranks_have_map)
+            entry = deployment.processes[deployment.entry_names()[0]]
+            agent = deployment.processes['engrave-0-0']
             idle = _cpu_s(entry.pid), _cpu_s(agent.pid)
             time.sleep(5)
             rows = [
@@ -161,7 +163,9 @@
                 )
             ]
             for group in deployment.fleet.groups:
-                deployment.fault(f'engine-{group.name}', cadence_ms=CADENCE_MS)
+                deployment.set_faults(
+                    f'engine-{group.name}', cadence_ms=CADENCE_MS
+                )
             rows += _in_force(deployment)
             rows += _calls(entry.url, entry.pid)
             rows += _streams(entry.url, entry.pid)
@@ -182,7 +186,7 @@
 
 def _in_force(deployment: launcher.Deployment) -> list[report.Row]:
     """Return how long a change takes from the log to every entry."""
-    log = log_client.LogClient(base_url=deployment.children['log'].url)
+    log = log_client.LogClient(base_url=deployment.processes['log'].url)
     state = state_module.FleetState()
     for page in log.read_all(records.FLEET_STREAM):
         for record in page.records:
@@ -198,17 +202,17 @@
     )
     began = time.monotonic()
     version = log.append(records.FLEET_STREAM, change)
-    waiting = set(deployment.entries())
+    waiting = set(deployment.entry_names())
     while waiting:
         for name in sorted(waiting):
-            status = deployment.entry_status(name)
+            status = deployment.fetch_entry_status(name)
             if status is not None and status['version'] >= version:
                 waiting.discard(name)
     taken = (time.monotonic() - began) * 1000
     return [
         report.Row(
             figure='ms from append to in force everywhere',
-            variant=f'{len(deployment.entries())} entries',
+            variant=f'{len(deployment.entry_names())} entries',
             value=taken,
             aim='<= 9000',
             met=taken <= 9000,
--- a/standins/aspenfold_standins/launcher.py
+++ b/standins/aspenfold_standins/launcher.py
@@ -1,7 +1,7 @@
-"""Starts a whole deployment as processes; a developers' tool.
+"""Starts a whole deployment as local processes, for tests and demos.
 
-The system's own processes start no others: this launcher stands in for
-the platform that starts them.  It ends only what it started, by pid.
+The launcher takes the place of the platform, which starts the product's
+processes in production.  It signals only processes that it started.
 """
 
 import json
@@ -20,23 +20,26 @@
 
 SYSTEM_KEY = 'demo-system-key-0123456789'
 OPERATOR_KEY = 'demo-operator-key-0123456789'
-READY_TIMEOUT = 40.0
-STOP_TIMEOUT = 20.0
+READY_TIMEOUT_S = 40.0
+STOP_TIMEOUT_S = 20.0
 LOOPBACK = '127.0.0.1'
 
 
 class LaunchError(Exception):
-    """A process did not become ready."""
+    """A process or condition was not ready in time."""
 
 
-class Child:
-    """One started process; ``info`` is the JSON line it printed."""
+class ChildProcess:
+    """A process started by the launcher.
 
-    def __init__(self, name: str, argv: list[str], errors: typing.Any) -> None:
+    ``ready_message`` is the JSON object that it prints once it is ready.
+    """
+
+    def __init__(self, name: str, argv: list[str], stderr: typing.Any) -> None:
         self.name = name
-        self.info: dict[str, typing.Any] = {}
+        self.ready_message: dict[str, typing.Any] = {}
         self._process = subprocess.Popen(
-            argv, stdout=subprocess.PIPE, stderr=errors, text=True
+            argv, stdout=subprocess.PIPE, stderr=stderr, text=True
         )
 
     @property
@@ -46,8 +49,8 @@
 
     @property
     def port(self) -> int:
-        """The port that the process said it listens on."""
-        return int(self.info['port'])
+        """The port that the process listens on."""
+        return int(self.ready_message['port'])
 
     @property
     def url(self) -> str:
@@ -55,50 +58,50 @@
         return f'http://{LOOPBACK}:{self.port}'
 
     def wait_ready(self) -> None:
-        """Wait for the JSON line that tells the port."""
+        """Wait for the ready message; raise LaunchError at the timeout."""
         assert self._process.stdout is not None
-        ready, _, _ = select.select(
-            [self._process.stdout], [], [], READY_TIMEOUT
+        readable, _, _ = select.select(
+            [self._process.stdout], [], [], READY_TIMEOUT_S
         )
-        line = self._process.stdout.readline() if ready else ''
+        line = self._process.stdout.readline() if readable else ''
         if not line:
-            raise LaunchError(f'{self.name} did not become ready')
-        self.info = json.loads(line)
+            raise LaunchError(f'{self.name} did not become ready in time')
+        self.ready_message = json.loads(line)
 
-    def send(self, number: int) -> None:
-        """Send a signal to exactly this process."""
+    def send_signal(self, number: int) -> None:
+        """Send a signal to the process if it has not ended."""
         if self._process.poll() is None:
             os.kill(self._process.pid, number)
 
     def freeze(self) -> None:
-        """Stop the process without its knowledge."""
-        self.send(signal.SIGSTOP)
+        """Suspend the process with SIGSTOP."""
+        self.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
-        self.send(signal.SIGCONT)
+        """Resume a frozen process."""
+        self.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
         """Kill the process and wait for its end."""
-        self.send(signal.SIGKILL)
-        self._process.wait(STOP_TIMEOUT)
+        self.send_signal(signal.SIGKILL)
+        self._process.wait(STOP_TIMEOUT_S)
 
     def terminate(self) -> None:
-        """Ask the process to shut down; do not wait."""
-        self.send(signal.SIGTERM)
+        """Send SIGTERM without waiting for the process to end."""
+        self.send_signal(signal.SIGTERM)
 
-    def wait(self, timeout: float = STOP_TIMEOUT) -> int:
-        """Wait for the process to end and return its status."""
+    def wait(self, timeout: float = STOP_TIMEOUT_S) -> int:
+        """Wait for the process to end and return its exit status."""
         return self._process.wait(timeout)
 
     @property
-    def running(self) -> bool:
-        """Whether the process has not ended."""
+    def is_running(self) -> bool:
+        """Whether the process is still running."""
         return self._process.poll() is None
 
 
 class Deployment:
-    """The platform's stand-ins, endpoints with agents, and entries."""
+    """Stand-ins of the platform and endpoints, with agents and entries."""
 
     def __init__(
         self, *, fleet_file: pathlib.Path, directory: pathlib.Path
@@ -110,50 +113,46 @@
         self.http = urllib3.PoolManager(
             retries=urllib3.Retry(0), timeout=urllib3.Timeout(60.0)
         )
-        self.children: dict[str, Child] = {}
+        self.processes: dict[str, ChildProcess] = {}
         self.hosts: dict[str, dict[str, typing.Any]] = {}
         self.entry_peers: list[int] = []
         self._agent_argv: dict[str, list[str]] = {}
         self.engine_options: tuple[str, ...] = ()
-        self._errors = open(  # noqa: SIM115
+        self._stderr_file = open(  # noqa: SIM115
             directory / 'stderr.txt', 'a', encoding='utf-8'
         )
 
-    # -- whole -----------------------------------------------------------
-
     def start(self, *, entries_per_zone: int = 1) -> None:
-        """Start everything and wait until all entries are ready."""
+        """Start every process and register the hosts once ready."""
         self.start_platform()
         self._start_endpoints()
         for zone in sorted(self.fleet.zones()):
             for number in range(entries_per_zone):
                 self.start_entry(f'entry-{zone}-{number}', zone)
-        self._await_started()
+        self._register_hosts()
 
     def stop(self) -> None:
         """Kill every process that this deployment started."""
-        for child in self.children.values():
-            child.thaw()
-            child.kill()
-        self._errors.close()
+        for process in self.processes.values():
+            process.thaw()
+            process.kill()
+        self._stderr_file.close()
 
     def start_platform(self) -> None:
         """Start the log service, the host list and the weight store."""
         for name in ('log', 'hosts', 'weights'):
-            self._spawn(name, self._standin(name))
+            self._spawn(name, self._standin_command(name))
         for name in ('log', 'hosts', 'weights'):
-            self.children[name].wait_ready()
-
-    # -- parts -----------------------------------------------------------
+            self.processes[name].wait_ready()
 
-    def start_entry(self, name: str, zone: str) -> Child:
-        """Start an entry; it is listed once ready."""
+    def start_entry(self, name: str, zone: str) -> ChildProcess:
+        """Start an entry; the caller waits for it and registers it."""
         settings = {
             'name': name,
             'availability_zone': zone,
             'listen': {'address': LOOPBACK, 'port': 0},
             'peer_listen': {'address': LOOPBACK, 'port': 0},
-            'platform': self.platform(),
+            'platform': self.platform_settings(),
             'peers': [
                 {'address': LOOPBACK, 'port': port}
                 for port in self.entry_peers
@@ -162,27 +161,27 @@
             'operator_key': OPERATOR_KEY,
             'log_file': str(self.directory / f'{name}.log'),
         }
-        path = self._write(name, settings)
-        child = self._spawn(name, [_program('aspenfold-entry'), path])
+        path = self._write_settings(name, settings)
+        process = self._spawn(name, [_program_path('aspenfold-entry'), path])
         self.hosts[name] = {
             'name': name,
             'availability_zone': zone,
             'role': 'entry',
             'address': LOOPBACK,
         }
-        return child
+        return process
 
     def start_agent(
         self,
         name: str,
         zone: str,
         service: fleet_model.Service,
-        endpoint: Child,
+        endpoint: ChildProcess,
         *,
         group: str = '',
         rank: int = 0,
-    ) -> Child:
-        """Start an agent beside an endpoint that is ready."""
+    ) -> ChildProcess:
+        """Start the agent of an endpoint that is ready."""
         settings = {
             'name': name,
             'availability_zone': zone,
@@ -198,10 +197,10 @@
             'drain_limit_ms': 15_000,
             'log_file': str(self.directory / f'{name}.log'),
         }
-        path = self._write(name, settings)
-        argv = [_program('aspenfold-agent'), path]
+        path = self._write_settings(name, settings)
+        argv = [_program_path('aspenfold-agent'), path]
         self._agent_argv[name] = argv
-        child = self._spawn(name, argv)
+        process = self._spawn(name, argv)
         self.hosts[name] = {
             'name': name,
             'availability_zone': zone,
@@ -211,51 +210,56 @@
             'group': group,
             'rank': rank,
         }
-        return child
+        return process
 
     def restart_agent(self, name: str) -> None:
-        """Kill an agent, start it anew with its settings, and list it."""
-        self.children[name].kill()
+        """Kill an agent, start it with the same settings and register it."""
+        self.processes[name].kill()
         self._spawn(name, self._agent_argv[name]).wait_ready()
-        self.list_host(name)
+        self.register_host(name)
 
-    def list_host(self, name: str, **changes: object) -> None:
-        """Put a host, once ready, on the host list, with changes."""
-        child = self.children[name]
+    def register_host(self, name: str, **changes: object) -> None:
+        """Put a ready host on the host list.
+
+        ``changes`` override fields of its record.
+        """
+        process = self.processes[name]
         host = self.hosts[name]
-        host['port'] = child.port
-        if 'peer_port' in child.info:
-            host['peer_port'] = child.info['peer_port']
+        host['port'] = process.port
+        if 'peer_port' in process.ready_message:
+            host['peer_port'] = process.ready_message['peer_port']
         host.update(changes)
-        self.call('PUT', self.children['hosts'].url + '/hosts', host)
+        self.request('PUT', self.processes['hosts'].url + '/hosts', host)
 
-    def platform(self) -> dict[str, typing.Any]:
-        """Return the platform's addresses as in settings files."""
+    def platform_settings(self) -> dict[str, typing.Any]:
+        """Return the ``platform`` section of a settings file."""
         return {
-            'log': {'address': LOOPBACK, 'port': self.children['log'].port},
+            'log': {'address': LOOPBACK, 'port': self.processes['log'].port},
             'host_list': {
                 'address': LOOPBACK,
-                'port': self.children['hosts'].port,
+                'port': self.processes['hosts'].port,
             },
         }
 
-    def operator_settings(self) -> str:
-        """Write settings for ``aspenfold`` and return their path."""
-        return self._write(
+    def write_operator_settings(self) -> str:
+        """Write the settings file of ``aspenfold`` and return its path."""
+        return self._write_settings(
             'operator',
             {
                 'operator': 'demo',
-                'platform': self.platform(),
+                'platform': self.platform_settings(),
                 'operator_key': OPERATOR_KEY,
             },
         )
 
-    def operate(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run an ``aspenfold`` command and return what it printed."""
+    def run_operator_command(
+        self, *arguments: str
+    ) -> subprocess.CompletedProcess[str]:
+        """Run an ``aspenfold`` command; return its output and status."""
         return subprocess.run(
             [
-                _program('aspenfold'),
-                f'--settings={self.operator_settings()}',
+                _program_path('aspenfold'),
+                f'--settings={self.write_operator_settings()}',
                 *arguments,
             ],
             capture_output=True,
@@ -264,53 +268,55 @@
             timeout=60,
         )
 
-    def call(
+    def request(
         self,
         method: str,
         url: str,
         body: object = None,
         headers: dict[str, str] | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Call an HTTP service, for example to switch a fault on."""
+        """Send an HTTP request with a JSON body and no retries."""
         return self.http.request(
             method, url, json=body, headers=headers, retries=False
         )
 
-    def fault(self, name: str, **faults: object) -> None:
-        """Switch faults of a stand-in on or off."""
-        self.call('POST', self.children[name].url + '/faults', faults)
+    def set_faults(self, name: str, **faults: object) -> None:
+        """Set faults of the stand-in ``name``."""
+        self.request('POST', self.processes[name].url + '/faults', faults)
 
-    def record(self, name: str) -> dict[str, typing.Any]:
-        """Return what a stand-in really executed."""
-        answer = self.call('GET', self.children[name].url + '/record')
-        result: dict[str, typing.Any] = answer.json()
+    def fetch_record(self, name: str) -> dict[str, typing.Any]:
+        """Return what a stand-in recorded, from ``GET /record``."""
+        response = self.request('GET', self.processes[name].url + '/record')
+        result: dict[str, typing.Any] = response.json()
         return result
 
     def wait_for(
         self,
-        what: str,
-        check: typing.Callable[[], bool],
+        description: str,
+        condition: typing.Callable[[], bool],
         timeout: float = 30.0,
     ) -> None:
-        """Wait until ``check()`` holds."""
-        end = time.monotonic() + timeout
-        while time.monotonic() < end:
-            if check():
+        """Poll until ``condition()`` is true; raise LaunchError if late."""
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
+            if condition():
                 return
             time.sleep(0.1)
-        raise LaunchError(f'waited {timeout} s for {what}')
+        raise LaunchError(
+            f'timed out after {timeout} s waiting for {description}'
+        )
 
-    def entry_status(self, name: str) -> dict[str, typing.Any] | None:
-        """Return an entry's status page, None if it does not answer."""
+    def fetch_entry_status(self, name: str) -> dict[str, typing.Any] | None:
+        """Return an entry's status, or None if it gives no 200 response."""
         headers = {'Authorization': f'Bearer {OPERATOR_KEY}'}
-        url = self.children[name].url + '/admin/status'
+        url = self.processes[name].url + '/admin/status'
         try:
-            answer = self.call('GET', url, headers=headers)
+            response = self.request('GET', url, headers=headers)
         except urllib3.exceptions.HTTPError:
             return None
-        return answer.json() if answer.status == 200 else None
+        return response.json() if response.status == 200 else None
 
-    def entries(self) -> list[str]:
+    def entry_names(self) -> list[str]:
         """Return the names of all entries."""
         return [
             name
@@ -318,32 +324,30 @@
             if host['role'] == 'entry'
         ]
 
-    def steps(self) -> bool:
+    def all_ranks_have_map(self) -> bool:
         """Return whether every rank reports a map in use."""
-        status = self.entry_status(self.entries()[0])
+        status = self.fetch_entry_status(self.entry_names()[0])
         if status is None:
             return False
         ranks = [e for e in status['endpoints'] if e['group']]
         return bool(ranks) and all(e['map_in_use'] for e in ranks)
 
-    # -- details ---------------------------------------------------------
-
     def _start_endpoints(self) -> None:
-        plans = self._plan_endpoints()
-        for name, argv in plans.items():
+        commands = self._endpoint_commands()
+        for name, argv in commands.items():
             self._spawn(name, argv)
-        for name in plans:
-            self.children[name].wait_ready()
+        for name in commands:
+            self.processes[name].wait_ready()
         for service in self.fleet.services:
             if service.kind is fleet_model.ServiceKind.MODEL:
                 self._start_rank_agents(service)
             else:
                 self._start_plain_agents(service)
 
-    def _plan_endpoints(self) -> dict[str, list[str]]:
-        weights = self.children['weights'].url
-        plans = {
-            f'engine-{group.name}': self._standin(
+    def _endpoint_commands(self) -> dict[str, list[str]]:
+        weights = self.processes['weights'].url
+        commands = {
+            f'engine-{group.name}': self._standin_command(
                 'engine',
                 f'--ranks={group.ranks}',
                 f'--weights={weights}',
@@ -355,8 +359,8 @@
             if service.kind is fleet_model.ServiceKind.PLAIN:
                 for zone in service.workers:
                     name = f'plain-{service.name}-{zone}'
-                    plans[name] = self._standin('plain')
-        return plans
+                    commands[name] = self._standin_command('plain')
+        return commands
 
     def _start_rank_agents(self, service: fleet_model.Service) -> None:
         groups = [g for g in self.fleet.groups if g.service == service.name]
@@ -371,7 +375,7 @@
                     f'{group.name}-{rank}',
                     zones.pop(0),
                     service,
-                    self.children[f'engine-{group.name}'],
+                    self.processes[f'engine-{group.name}'],
                     group=group.name,
                     rank=rank,
                 )
@@ -383,28 +387,28 @@
                     f'{service.name}-{zone}-{number}',
                     zone,
                     service,
-                    self.children[f'plain-{service.name}-{zone}'],
+                    self.processes[f'plain-{service.name}-{zone}'],
                 )
 
-    def _await_started(self) -> None:
+    def _register_hosts(self) -> None:
         for name in self.hosts:
-            self.children[name].wait_ready()
+            self.processes[name].wait_ready()
         for name in self.hosts:
-            self.list_host(name)
+            self.register_host(name)
 
-    def _spawn(self, name: str, argv: list[str]) -> Child:
-        child = Child(name, argv, self._errors)
-        self.children[name] = child
-        return child
+    def _spawn(self, name: str, argv: list[str]) -> ChildProcess:
+        process = ChildProcess(name, argv, self._stderr_file)
+        self.processes[name] = process
+        return process
 
-    def _standin(self, *arguments: str) -> list[str]:
-        return [_program('aspenfold-standin'), *arguments]
+    def _standin_command(self, *arguments: str) -> list[str]:
+        return [_program_path('aspenfold-standin'), *arguments]
 
-    def _write(self, name: str, settings: object) -> str:
+    def _write_settings(self, name: str, settings: object) -> str:
         path = self.directory / f'{name}.json'
         path.write_text(json.dumps(settings, indent=2), encoding='utf-8')
         return str(path)
 
 
-def _program(name: str) -> str:
+def _program_path(name: str) -> str:
     return str(pathlib.Path(sys.executable).parent / name)
--- a/tests/functional/conftest.py
+++ b/tests/functional/conftest.py
@@ -37,9 +37,9 @@
     running = launcher.Deployment(fleet_file=path, directory=tmp_path)
     try:
         running.start()
-        result = running.operate('apply', str(path))
+        result = running.run_operator_command('apply', str(path))
         assert result.returncode == 0, result.stderr
-        running.wait_for('both ranks', running.steps)
+        running.wait_for('both ranks', running.all_ranks_have_map)
         yield running
     finally:
         running.stop()
--- a/tests/functional/test_programs.py
+++ b/tests/functional/test_programs.py
@@ -81,7 +81,7 @@
     unknown = client.post(0, '/nothing/here', {})
     assert (unknown.status, unknown.code) == (404, 4005)
     assert client.ping(0).status == 200
-    entry = deployment.children[deployment.entries()[0]]
+    entry = deployment.processes[deployment.entry_names()[0]]
     pool = urllib3.PoolManager()
     ready = pool.request('GET', entry.url + '/health/ready')
     assert ready.status == 200
@@ -97,7 +97,7 @@
     deployment: launcher.Deployment,
 ) -> None:
     """A too short listen queue lets the kernel reset connections."""
-    entry = deployment.children[deployment.entries()[0]]
+    entry = deployment.processes[deployment.entry_names()[0]]
     start = threading.Barrier(CONCURRENT_CALLERS)
 
     def ping() -> int:
--- a/tests/lib/deployment_client.py
+++ b/tests/lib/deployment_client.py
@@ -53,13 +53,13 @@
         **headers: str,
     ) -> Answer:
         """Send one request and return its answer."""
-        name = self.deployment.entries()[entry]
-        url = self.deployment.children[name].url + path
+        name = self.deployment.entry_names()[entry]
+        url = self.deployment.processes[name].url + path
         sent = {**HEADERS, **headers}
         if key:
             sent['Idempotency-Key'] = key
         try:
-            answer = self.deployment.call('POST', url, body, sent)
+            answer = self.deployment.request('POST', url, body, sent)
         except urllib3.exceptions.HTTPError:
             return Answer(status=0, outcome='', body=b'', headers={})
         lower = {k.lower(): v for k, v in answer.headers.items()}
@@ -104,8 +104,8 @@
         """Return all executions of a plain operation."""
         return [
             run
-            for name in self.deployment.children
+            for name in self.deployment.processes
             if name.startswith('plain-')
-            for run in self.deployment.record(name)['runs']
+            for run in self.deployment.fetch_record(name)['runs']
             if run['operation'] == operation
         ]
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -88,24 +88,26 @@
 
     def url(self, entry: int) -> str:
         """Return the base URL of an entry."""
-        name = self.deployment.entries()[entry]
-        return self.deployment.children[name].url
+        name = self.deployment.entry_names()[entry]
+        return self.deployment.processes[name].url
 
     def apply(self) -> None:
         """Put the fleet in force through the log."""
-        result = self.deployment.operate(
+        result = self.deployment.run_operator_command(
             'apply', str(self.deployment.fleet_file), '--reason=demo'
         )
         print(result.stdout)
         check(result.returncode == 0, 'the fleet is in force on every entry')
-        self.deployment.wait_for('all ranks', self.deployment.steps)
+        self.deployment.wait_for(
+            'all ranks', self.deployment.all_ranks_have_map
+        )
         check(True, 'every rank group steps on one expert map')
 
     def ping(self) -> None:
         """Send an interactive call."""
         story = self.story
         began = time.monotonic()
-        answer = self.deployment.call(
+        answer = self.deployment.request(
             'POST',
             f'{self.url(0)}/services/{story.plain}/{story.ping}',
             {'ping': 1},
@@ -121,7 +123,7 @@
         headers = {**self.headers, 'Idempotency-Key': 'demo-job-1'}
         path = f'/services/{story.plain}/{story.once}'
         answers = [
-            self.deployment.call(
+            self.deployment.request(
                 'POST', self.url(entry) + path, {'job': 7}, headers
             )
             for entry in (0, 1)
@@ -134,7 +136,7 @@
         )
         runs = self.runs_of(f'/{story.once}')
         check(len(runs) == 1, f'{story.once} ran {len(runs)} time')
-        missing = self.deployment.call(
+        missing = self.deployment.request(
             'POST', self.url(0) + path, {'job': 8}, self.headers
         )
         check(
@@ -146,8 +148,8 @@
     def runs_of(self, operation: str) -> list[typing.Any]:
         """Return all executions of an operation, over all endpoints."""
         records = [
-            self.deployment.record(name)
-            for name in self.deployment.children
+            self.deployment.fetch_record(name)
+            for name in self.deployment.processes
             if name.startswith('plain-')
         ]
         return [
@@ -159,7 +161,7 @@
 
     def generate(self, entry: int, prompt: str, tokens: int) -> str:
         """Stream a generation and return its text; check its end."""
-        answer = self.deployment.call(
+        answer = self.deployment.request(
             'POST',
             f'{self.url(entry)}/v1/completions',
             {
@@ -197,7 +199,9 @@
         thread.start()
         self.deployment.wait_for('a stream', lambda: bool(self.busy()))
         (name,) = self.busy()
-        result = self.deployment.operate('drain', name, '--reason=demo')
+        result = self.deployment.run_operator_command(
+            'drain', name, '--reason=demo'
+        )
         check(result.returncode == 0, f'{name} drains under a stream')
         self.deployment.wait_for('the drain', lambda: self.leaving(name))
         thread.join()
@@ -208,15 +212,17 @@
 
     def busy(self) -> list[str]:
         """Return the endpoints that this entry has work on."""
-        status = self.deployment.entry_status(self.deployment.entries()[0])
+        status = self.deployment.fetch_entry_status(
+            self.deployment.entry_names()[0]
+        )
         assert status is not None
         return [e['name'] for e in status['endpoints'] if e['in_flight_here']]
 
     def leaving(self, name: str) -> bool:
         """Return whether every entry sees the endpoint leave."""
         reports = [
-            self.deployment.entry_status(entry)
-            for entry in self.deployment.entries()
+            self.deployment.fetch_entry_status(entry)
+            for entry in self.deployment.entry_names()
         ]
         return all(
             report is not None
@@ -228,7 +234,7 @@
 
     def audit(self) -> None:
         """Print the audit trail."""
-        result = self.deployment.operate('audit')
+        result = self.deployment.run_operator_command('audit')
         print(result.stdout)
         kinds = ('config', 'lease', 'map', 'membership')
         check(
@@ -247,7 +253,7 @@
         )
         try:
             deployment.start()
-            count = len(deployment.children)
+            count = len(deployment.processes)
             zones = len(deployment.fleet.zones())
             print(f'  {count} processes in {zones} availability zones')
             Demo(story=story, deployment=deployment).run()
--- a/tools/serve.py
+++ b/tools/serve.py
@@ -20,11 +20,13 @@
         )
         try:
             deployment.start()
-            deployment.operate('apply', str(deployment.fleet_file))
-            deployment.wait_for('all ranks', deployment.steps)
-            for entry in deployment.entries():
-                print(f'ENTRY={deployment.children[entry].url}')
-            settings = deployment.operator_settings()
+            deployment.run_operator_command(
+                'apply', str(deployment.fleet_file)
+            )
+            deployment.wait_for('all ranks', deployment.all_ranks_have_map)
+            for entry in deployment.entry_names():
+                print(f'ENTRY={deployment.processes[entry].url}')
+            settings = deployment.write_operator_settings()
             print(f'export ASPENFOLD_SETTINGS={settings}')
             print('press Ctrl-C to stop', flush=True)
             signal.pause()
