--- a/src/aspenfold/_internal/processes/__init__.py
+++ b/src/aspenfold/_internal/processes/__init__.py
@@ -1,1 +1,1 @@
-"""The programs' shells: they carry out what the kernels decide."""
+"""The processes of the programs: they connect the kernels to I/O."""
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -1,4 +1,4 @@
-"""The agent's process: the one small process beside each endpoint."""
+"""The agent process: runs attempts at the endpoint on its host."""
 
 import asyncio
 import json
@@ -27,20 +27,24 @@
 from aspenfold._internal.processes import tasks
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
-TICK = 0.05
-"""Seconds between two looks at the kernel's timers."""
+TICK_INTERVAL_S = 0.05
+"""Interval at which the kernel's timers are checked."""
 
-SPARE_THREADS = 4
-"""Endpoint threads for orders and state beside those for attempts."""
+EXTRA_ENDPOINT_THREADS = 4
+"""Endpoint threads for requests other than attempts."""
 
 INCARNATION_BYTES = 8
 
-LINGER = 0.3
-"""Seconds that finished answers get to leave before the exit."""
+FLUSH_DELAY_S = 0.3
+"""Time to send the last frames and reports, which say "drained"."""
 
 
 class AgentProcess:
-    """Carries out the agent kernel's actions; the sink of answers."""
+    """Runs an agent: feeds events to its kernel and performs its actions.
+
+    It handles the calls of ``AgentService`` and receives the responses of
+    ``EndpointClient``.
+    """
 
     def __init__(
         self, *, cfg: settings.AgentSettings, clock: clock_module.Clock
@@ -53,25 +57,25 @@
         )
         self._cfg = cfg
         self._clock = clock
-        self._version = 0
+        self._config_version = 0
         self._queues: dict[int, frame_queue.FrameQueue] = {}
         self._tasks = tasks.BackgroundTasks()
         self._clients = agent_client.AgentClients(system_key=cfg.system_key)
         self._stop = asyncio.Event()
         self._member: group_member.GroupMember | None = None
-        self._endpoint = self._make_endpoint()
+        self._endpoint_client = self._create_endpoint_client()
 
     async def run(self) -> None:
-        """Serve until a signal, then drain and return."""
+        """Serve until SIGTERM or SIGINT, then drain and stop."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop.set)
         service = agent_service.AgentService(handler=self)
         server = grpclib.server.Server([service])
         auth.require_system_key(server, self._cfg.system_key)
         port = await listen.start(server, self._cfg.listen, 'listen')
         self._join_group()
-        self._tasks.spawn(self._tick())
+        self._tasks.spawn(self._run_timers())
         print(json.dumps({'ready': self.name, 'port': port}), flush=True)
         events.emit(
             events.Event.STARTED,
@@ -84,39 +88,37 @@
         server.close()
         await server.wait_closed()
         self._tasks.cancel()
-        self._endpoint.close()
+        self._endpoint_client.close()
         self._clients.close()
         events.emit(events.Event.STOPPED, name=self.name)
 
-    # -- from the RPC service --------------------------------------------
-
     def execute(
         self,
-        number: int,
+        stream_id: int,
         queue: frame_queue.FrameQueue,
-        req: frames.AttemptRequest,
+        request: frames.AttemptRequest,
     ) -> None:
-        """Take an attempt whose frames go to ``queue``."""
-        self._queues[number] = queue
-        self._apply(self.kernel.execute(number, req, self._clock.now()))
+        """Start or join an attempt; its frames are put into ``queue``."""
+        self._queues[stream_id] = queue
+        self._apply(self.kernel.execute(stream_id, request, self._clock.now()))
 
-    def on_stream_closed(self, number: int) -> None:
-        """The reader of a leg is gone or has all."""
-        self._queues.pop(number, None)
-        self._apply(self.kernel.on_stream_closed(number))
+    def on_stream_closed(self, stream_id: int) -> None:
+        """Handle the end of an answer stream, complete or not."""
+        self._queues.pop(stream_id, None)
+        self._apply(self.kernel.on_stream_closed(stream_id))
 
     def cancel(self, attempt_id: str) -> None:
-        """Nobody waits for the attempt."""
+        """Cancel an attempt that no caller waits for."""
         self._apply(self.kernel.cancel(attempt_id))
 
     def on_group_message(self, message: messages.Message) -> None:
-        """A message of the expert map protocol arrived."""
+        """Handle a message of the expert map protocol."""
         if self._member is not None:
             self._member.receive(message)
 
     def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
-        """Take an entry's news and give the report."""
-        self._version = max(self._version, request.version)
+        """Apply an entry's report request and return this agent's report."""
+        self._config_version = max(self._config_version, request.version)
         self.kernel.on_drain_order(
             frames.DrainOrder(
                 drain=request.drain,
@@ -128,7 +130,7 @@
             endpoint=self.name,
             incarnation=self.kernel.incarnation,
             load=codec.load_to_pb(self.kernel.load),
-            version=self._version,
+            version=self._config_version,
         )
         if self._member is not None:
             self._member.on_report_request(request)
@@ -137,25 +139,23 @@
             reply.expert_load.extend(self._member.expert_load)
         return reply
 
-    # -- from the endpoint, on the loop ----------------------------------
-
     def on_head(self, attempt_id: str, head: frames.Head) -> None:
-        """The endpoint began to answer."""
+        """Handle the start of an endpoint's response."""
         self._apply(self.kernel.on_endpoint_head(attempt_id, head))
 
     def on_items(self, attempt_id: str, items: tuple[bytes, ...]) -> None:
-        """The endpoint gave the next items."""
+        """Handle the next items of an endpoint's response."""
         self._apply(self.kernel.on_endpoint_items(attempt_id, items))
 
     def on_end(self, attempt_id: str) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete response."""
         events.emit(events.Event.ATTEMPT_ENDED, attempt=attempt_id)
         self._apply(
             self.kernel.on_endpoint_ended(attempt_id, self._clock.now())
         )
 
     def on_failure(self, attempt_id: str, failure: exceptions.Failure) -> None:
-        """There is no whole answer."""
+        """Handle an attempt without a complete response."""
         events.emit(
             events.Event.ATTEMPT_REFUSED,
             attempt=attempt_id,
@@ -163,9 +163,7 @@
         )
         self._apply(self.kernel.on_endpoint_failed(attempt_id, failure))
 
-    # -- parts -----------------------------------------------------------
-
-    def _make_endpoint(self) -> endpoint_client.EndpointClient:
+    def _create_endpoint_client(self) -> endpoint_client.EndpointClient:
         cfg = self._cfg
         config = endpoint_client.EndpointConfig(
             base_url=cfg.endpoint.url,
@@ -174,7 +172,8 @@
             operations=cfg.operations,
         )
         threads = (
-            cfg.capacity * agent_kernel.MAX_ACCEPTED_RATIO + SPARE_THREADS
+            cfg.capacity * agent_kernel.MAX_ACCEPTED_RATIO
+            + EXTRA_ENDPOINT_THREADS
         )
         return endpoint_client.EndpointClient(
             config=config,
@@ -193,7 +192,7 @@
             clock=self._clock,
             rng=random.Random(secrets.randbits(64)),
             clients=self._clients,
-            endpoint=self._endpoint,
+            endpoint=self._endpoint_client,
             spawn=self._tasks.spawn,
         )
         self._tasks.spawn(self._member.run())
@@ -201,11 +200,11 @@
     async def _drain(self) -> None:
         events.emit(events.Event.DRAINING, name=self.name)
         self.kernel.drain_permanently()
-        limit = self._cfg.drain_limit_ms / 1000
+        timeout_s = self._cfg.drain_limit_ms / 1000
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout_s):
                 while self._queues or not self.kernel.may_exit:
-                    await asyncio.sleep(TICK)
+                    await asyncio.sleep(TICK_INTERVAL_S)
         except TimeoutError:
             events.emit(
                 events.Event.DRAIN_LIMIT,
@@ -217,23 +216,22 @@
                 detail='the agent reached its drain limit',
             )
             self._apply(self.kernel.abort_running(failure))
-        # Entries learn from these last reports that it has drained.
-        await asyncio.sleep(LINGER)
+        await asyncio.sleep(FLUSH_DELAY_S)
 
-    async def _tick(self) -> None:
+    async def _run_timers(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self._apply(self.kernel.tick(self._clock.now()))
 
-    def _apply(self, result: list[actions.Action]) -> None:
-        for action in result:
+    def _apply(self, new_actions: list[actions.Action]) -> None:
+        for action in new_actions:
             match action:
-                case actions.Send(stream_id=number, frame=frame):
-                    queue = self._queues.get(number)
+                case actions.Send(stream_id=stream_id, frame=frame):
+                    queue = self._queues.get(stream_id)
                     if queue is not None:
                         queue.put(frame)
-                case actions.CloseAnswerStream(stream_id=number):
-                    queue = self._queues.get(number)
+                case actions.CloseAnswerStream(stream_id=stream_id):
+                    queue = self._queues.get(stream_id)
                     if queue is not None:
                         queue.close()
                 case actions.CallEndpoint(request=request):
@@ -243,13 +241,13 @@
                         call=request.call_id,
                         operation=request.operation,
                     )
-                    self._endpoint.start(request)
+                    self._endpoint_client.start(request)
                 case actions.CancelEndpoint(attempt_id=attempt_id):
-                    self._endpoint.cancel(attempt_id)
+                    self._endpoint_client.cancel(attempt_id)
 
 
 def run(cfg: settings.AgentSettings) -> None:
-    """Run an agent until it is told to stop."""
+    """Run an agent until it is stopped by a signal."""
     events.configure(cfg.log_file)
 
     async def main() -> None:
--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -1,4 +1,4 @@
-"""The entry's process: callers' HTTP in front, agents behind."""
+"""The entry process: serves callers and sends attempts to agents."""
 
 import asyncio
 from collections import abc
@@ -38,19 +38,25 @@
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
 PLUGINS = (admission, retries, routing)
-"""Importing these packages registered their policies."""
+"""These packages register their policies on import."""
 
-TICK = 0.02
-ADMIN_TIMEOUT = 5.0
-TICKET_LIFE = datetime.timedelta(minutes=10)
-TICKET_BYTES = 12
-LINGER = 0.2
+TICK_INTERVAL_S = 0.02
+"""Interval at which the kernel's timers are checked."""
+
+ADMIN_TIMEOUT_S = 5.0
+"""Longest wait of an HTTP thread for the event loop."""
+
+TICKET_LIFETIME = datetime.timedelta(minutes=10)
+TICKET_NONCE_BYTES = 12
+
+FLUSH_DELAY_S = 0.2
+"""Time for the HTTP threads to send the last parts of answers."""
 
 _Result = typing.TypeVar('_Result')
 
 
 class EntryProcess:
-    """Carries out the entry kernel's actions."""
+    """Runs an entry: feeds events to its kernel and performs its actions."""
 
     def __init__(
         self, *, cfg: settings.EntrySettings, clock: clock_module.Clock
@@ -74,15 +80,15 @@
         self._feed = platform_feed.PlatformFeed(entry=self, rng=self._rng)
         self.report_poller = report_poller.ReportPoller(entry=self)
         self._responses: dict[str, response_queue.ResponseQueue] = {}
-        self._started: dict[str, tuple[str, str, datetime.datetime]] = {}
-        self._legs: dict[int, asyncio.Task[None]] = {}
+        self._call_starts: dict[str, tuple[str, str, datetime.datetime]] = {}
+        self._answer_streams: dict[int, asyncio.Task[None]] = {}
         self._stop = asyncio.Event()
         self._add_gauges()
 
     async def run(self) -> None:
-        """Serve until a signal, then finish what is in flight."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stop.set)
+        """Serve until SIGTERM or SIGINT, then drain and stop."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._stop.set)
         peers = grpclib.server.Server([peer_service.PeerService(entry=self)])
         auth.require_system_key(peers, self.cfg.system_key)
         peer_port = await listen.start(
@@ -92,7 +98,7 @@
         server = http_api.HttpServer(api=api, cfg=self.cfg)
         port = server.start()
         self._feed.start()
-        self.tasks.spawn(self._tick())
+        self.tasks.spawn(self._run_timers())
         self.tasks.spawn(self.report_poller.run())
         print(
             json.dumps(
@@ -110,46 +116,42 @@
         self.clients.close()
         events.emit(events.Event.STOPPED, name=self.name)
 
-    # -- from the HTTP edge's threads ------------------------------------
-
     def submit(
         self, raw: request_validator.RawRequest
     ) -> response_queue.ResponseQueue:
-        """Hand over a request; its answer arrives in the returned queue."""
+        """Submit a request; its response arrives in the returned queue."""
         response = response_queue.ResponseQueue(loop=self._loop)
-        self._loop.call_soon_threadsafe(self._submit_safely, raw, response)
+        self._loop.call_soon_threadsafe(self._submit_or_fail, raw, response)
         return response
 
     def on_caller_left(self, request_id: str) -> None:
-        """The caller closed its connection."""
+        """Handle a caller that closed its connection."""
         self._loop.call_soon_threadsafe(self._caller_left, request_id)
 
     def admin(
         self, name: str, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
-        """Run one of the small synchronous requests on the loop."""
+        """Run the administrative request ``name`` and return its result."""
         handlers = {
             'status': lambda: status.report(self),
             'ready': self._ready,
             'ticket': lambda: self._ticket(body),
             'explain': lambda: status.explain(self, body),
         }
-        return self._on_loop(handlers[name])
+        return self._run_on_loop(handlers[name])
 
     def metrics_text(self) -> bytes:
-        """Return the metrics as text."""
-        return self._on_loop(self.metrics.text)
+        """Return the metrics in the Prometheus text format."""
+        return self._run_on_loop(self.metrics.text)
 
-    def _on_loop(self, work: abc.Callable[[], _Result]) -> _Result:
+    def _run_on_loop(self, work: abc.Callable[[], _Result]) -> _Result:
         async def run() -> _Result:
             return work()
 
         future = asyncio.run_coroutine_threadsafe(run(), self._loop)
-        return future.result(ADMIN_TIMEOUT)
-
-    # -- calls -----------------------------------------------------------
+        return future.result(ADMIN_TIMEOUT_S)
 
-    def _submit_safely(
+    def _submit_or_fail(
         self,
         raw: request_validator.RawRequest,
         response: response_queue.ResponseQueue,
@@ -157,7 +159,7 @@
         try:
             self._submit(raw, response)
         except Exception as exc:
-            # Its thread would wait for an answer for ever.
+            # Without a response the HTTP thread would wait forever.
             events.emit(events.Event.UNEXPECTED, error=repr(exc))
             failure = exceptions.Failure(
                 code=exceptions.Code.INTERNAL,
@@ -176,7 +178,7 @@
             failure = exceptions.Failure(
                 code=exceptions.Code.NO_FLEET,
                 detail='this entry has no configuration yet',
-                remedy='apply a fleet, or try another entry host',
+                remedy='apply a fleet, or use another entry',
                 retry_after=datetime.timedelta(seconds=1),
             )
             response.put(response_queue.Failed(failure=failure))
@@ -189,7 +191,7 @@
             response.put(response_queue.Failed(failure=exc.failure))
             return
         self._responses[call.call_id] = response
-        self._started[call.call_id] = (
+        self._call_starts[call.call_id] = (
             call.priority.value,
             call.organisation,
             call.received_at,
@@ -199,7 +201,7 @@
     def _caller_left(self, request_id: str) -> None:
         if self._responses.pop(request_id, None) is None:
             return
-        self._started.pop(request_id, None)
+        self._call_starts.pop(request_id, None)
         events.emit(events.Event.CALLER_LEFT, call=request_id)
         self.apply(self.kernel.on_caller_left(request_id))
 
@@ -215,19 +217,19 @@
             raise exceptions.RequestError(
                 exceptions.Failure(
                     code=exceptions.Code.NO_ENDPOINT,
-                    detail=f'no endpoint of {service!r} takes work now',
+                    detail=f'no endpoint of {service!r} accepts requests',
                     field='service',
-                    remedy='name a service of the fleet, or come back',
+                    remedy='check the service name, or retry later',
                     retry_after=datetime.timedelta(seconds=1),
                 )
             )
-        chosen = min(candidates, key=lambda c: c.pressure)
+        least_loaded = min(candidates, key=lambda c: c.pressure)
         ticket = ticket_module.Ticket(
             organisation=organisation.name,
-            endpoint=chosen.name,
-            incarnation=chosen.incarnation,
-            nonce=secrets.token_hex(TICKET_BYTES),
-            expires=now + TICKET_LIFE,
+            endpoint=least_loaded.name,
+            incarnation=least_loaded.incarnation,
+            nonce=secrets.token_hex(TICKET_NONCE_BYTES),
+            expires=now + TICKET_LIFETIME,
         )
         return {
             'idempotency_key': ticket_module.mint(ticket, self.cfg.system_key),
@@ -236,22 +238,24 @@
 
     @property
     def host_list(self) -> hosts.HostList:
-        """The host list as last read."""
+        """The most recently read host list."""
         return self._feed.host_list
 
-    def apply(self, result: list[actions.Action]) -> None:
-        """Carry out the kernel's actions."""
-        for action in result:
+    def apply(self, new_actions: list[actions.Action]) -> None:
+        """Perform the kernel's actions."""
+        for action in new_actions:
             match action:
                 case actions.OpenAnswerStream():
-                    task = self._loop.create_task(self._run_leg(action))
-                    self._legs[action.stream_id] = task
-                case actions.CloseAnswerStream(stream_id=leg):
-                    self._close_leg(leg)
-                case actions.CancelAttempt(host=host, attempt_id=attempt):
+                    task = self._loop.create_task(
+                        self._run_answer_stream(action)
+                    )
+                    self._answer_streams[action.stream_id] = task
+                case actions.CloseAnswerStream(stream_id=stream_id):
+                    self._close_answer_stream(stream_id)
+                case actions.CancelAttempt(host=host, attempt_id=attempt_id):
                     self.tasks.spawn(
                         self.clients.cancel(
-                            str(host.address), host.port, attempt
+                            str(host.address), host.port, attempt_id
                         )
                     )
                 case actions.AppendClaim(stream=stream, claim=claim):
@@ -280,11 +284,11 @@
     ) -> None:
         self._put(call_id, part)
         self._responses.pop(call_id, None)
-        started = self._started.pop(call_id, None)
+        started = self._call_starts.pop(call_id, None)
         if started is not None:
-            priority, organisation, since = started
-            taken = self.clock.now() - since
-            self.metrics.record_latency(priority, organisation, taken)
+            priority, organisation, received_at = started
+            latency = self.clock.now() - received_at
+            self.metrics.record_latency(priority, organisation, latency)
         if isinstance(part, response_queue.Failed):
             code = int(part.failure.code)
             self.metrics.increment('refusals', str(code))
@@ -293,7 +297,9 @@
         self.metrics.increment('answers', 'whole')
         events.emit(events.Event.CALL_FINISHED, call=call_id)
 
-    async def _run_leg(self, action: actions.OpenAnswerStream) -> None:
+    async def _run_answer_stream(
+        self, action: actions.OpenAnswerStream
+    ) -> None:
         host = action.host
         events.emit(
             events.Event.ATTEMPT_OPENED,
@@ -313,7 +319,7 @@
                     await response.drain()
         except agent_client.AnswerStreamLost as exc:
             sent = exc.sent
-        if self._legs.pop(action.stream_id, None) is None:
+        if self._answer_streams.pop(action.stream_id, None) is None:
             return
         events.emit(
             events.Event.ATTEMPT_LOST,
@@ -328,15 +334,13 @@
             )
         )
 
-    def _close_leg(self, leg: int) -> None:
-        task = self._legs.pop(leg, None)
+    def _close_answer_stream(self, stream_id: int) -> None:
+        task = self._answer_streams.pop(stream_id, None)
         if task is not None and task is not asyncio.current_task():
             task.cancel()
 
-    # -- for peers -------------------------------------------------------
-
     def fleet_since(self, have_offset: int) -> pb.FleetReply:
-        """Return this entry's fleet state if it is further on."""
+        """Return the fleet state if it is later than ``have_offset``."""
         state = self.kernel.fleet_reader.state
         if state.next_offset <= have_offset:
             return pb.FleetReply(offset=state.next_offset)
@@ -344,11 +348,9 @@
             offset=state.next_offset, state=orjson.dumps(state.to_json())
         )
 
-    # -- life ------------------------------------------------------------
-
-    async def _tick(self) -> None:
+    async def _run_timers(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.apply(self.kernel.tick(self.clock.now()))
 
     def _ready(self) -> dict[str, typing.Any]:
@@ -366,14 +368,13 @@
         try:
             async with asyncio.timeout(self.cfg.drain_limit_ms / 1000):
                 while self._responses or not self.kernel.may_exit:
-                    await asyncio.sleep(TICK)
+                    await asyncio.sleep(TICK_INTERVAL_S)
         except TimeoutError:
             events.emit(events.Event.DRAIN_LIMIT, name=self.name)
-            self._cut_all()
-        # Threads still write out the last parts of finished answers.
-        await asyncio.sleep(LINGER)
+            self._abort_calls()
+        await asyncio.sleep(FLUSH_DELAY_S)
 
-    def _cut_all(self) -> None:
+    def _abort_calls(self) -> None:
         failure = exceptions.Failure(
             code=exceptions.Code.FATE_UNKNOWN,
             detail='the entry reached its drain limit',
@@ -394,7 +395,7 @@
 
 
 def run(cfg: settings.EntrySettings) -> None:
-    """Run an entry until it is told to stop."""
+    """Run an entry until it is stopped by a signal."""
     events.configure(cfg.log_file)
 
     async def main() -> None:
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's process: callers in front, endpoints behind."""
+"""The gateway process: serves callers and sends requests to endpoints."""
 
 import asyncio
 import random
@@ -27,23 +27,29 @@
 from aspenfold._internal.processes import gateway_metrics
 from aspenfold._internal.processes import tasks
 
-BALANCER_WAIT_S = 3.0
-"""After SIGTERM the balancer still sends connections: it asks once a
-second and turns away after two misses; one second is for lost answers."""
+BALANCER_DELAY_S = 3.0
+"""How long the balancer may still open connections after SIGTERM.
+
+It polls the health port once a second and stops after two failed polls;
+the third second allows for lost responses.
+"""
 
 EXIT_MARGIN_S = 0.5
-"""The process ends this long before it would be killed."""
+"""Time between the end of a drain and the end of the grace period."""
 
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
-PEER_TICK_S = 0.025
-"""How often to look whether peers are due news."""
+PEER_UPDATE_CHECK_INTERVAL_S = 0.025
+"""How often to check whether an update to peers is due."""
 
 
 class GatewayProcess:
-    """Connects the core with sockets and signals."""
+    """Runs a gateway: connects its parts with sockets and signals.
+
+    The ports that it listens on are set by ``start()``.
+    """
 
     def __init__(
         self,
@@ -118,15 +124,15 @@
         )
         self._tasks = tasks.BackgroundTasks()
         self._stop = asyncio.Event()
-        self._leading: asyncio.Task[None] | None = None
+        self._leadership_task: asyncio.Task[None] | None = None
         self.port = 0
         self.health_port = 0
         self.metrics_port = 0
         self.relay_port = 0
-        self._callers = self._server(self._handle)
-        self._health = self._server(self._answer_health)
-        self._metrics = self._server(self._answer_metrics)
-        self._relay_server = self._server(self._publisher.handle)
+        self._caller_server = self._create_server(self._handle_request)
+        self._health_server = self._create_server(self._answer_health)
+        self._metrics_server = self._create_server(self._answer_metrics)
+        self._relay_server = self._create_server(self._publisher.handle)
         self._in_flight = 0
         gateway_metrics.register(
             core=self._core,
@@ -137,7 +143,7 @@
             in_flight=lambda: self._in_flight,
         )
 
-    def _server(
+    def _create_server(
         self, handler: http1_server.RequestHandler
     ) -> http1_server.Server:
         return http1_server.Server(
@@ -147,31 +153,34 @@
         )
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then finish what is in flight."""
+        """Serve until SIGTERM or SIGINT, then drain."""
         loop = asyncio.get_running_loop()
-        for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, self.stop)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        for signal_number in STOP_SIGNALS:
+            loop.add_signal_handler(signal_number, self.stop)
+        loop.add_signal_handler(signal.SIGHUP, self._on_reload_signal)
         await self.start()
         await self._stop.wait()
         await self.drain()
-        # The loop's handlers go with the loop; a repeated SIGTERM must not
-        # turn an orderly end into a killed process.
+        # Signal handlers end with the loop; a further SIGTERM must not kill
+        # the process before it exits.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
 
     def stop(self) -> None:
-        """Begin to end; asking twice changes nothing."""
+        """Ask ``run()`` to drain and return; further calls have no effect."""
         self._stop.set()
 
     async def start(self) -> None:
-        """Listen, and begin to learn the plan and the endpoints."""
+        """Start the background tasks and listen on all ports.
+
+        Raises a ``SettingsError`` if a port is unavailable.
+        """
         self._tasks.spawn(self._feeds.plan.run())
         self._tasks.spawn(self._feeds.endpoints.run())
         self._tasks.spawn(self._peer_discovery.run())
-        self._tasks.spawn(self._tell_peers())
+        self._tasks.spawn(self._exchange_peer_updates())
         self._tasks.spawn(self._follower.run())
         self._tasks.spawn(self._groups.run())
-        self._leading = asyncio.create_task(self._leadership.run())
+        self._leadership_task = asyncio.create_task(self._leadership.run())
         callers, health = self._cfg.callers, self._cfg.health
         assert callers is not None
         assert health is not None
@@ -180,9 +189,11 @@
         )
         metrics = self._cfg.metrics
         self.relay_port = await _listen(self._relay_server, peers, 'peer_port')
-        self.port = await _listen(self._callers, callers, 'callers')
-        self.health_port = await _listen(self._health, health, 'health')
-        self.metrics_port = await _listen(self._metrics, metrics, 'metrics')
+        self.port = await _listen(self._caller_server, callers, 'callers')
+        self.health_port = await _listen(self._health_server, health, 'health')
+        self.metrics_port = await _listen(
+            self._metrics_server, metrics, 'metrics'
+        )
         events.emit(
             events.Event.STARTED,
             process='gateway',
@@ -190,26 +201,28 @@
             zone=self._cfg.availability_zone,
         )
 
-    async def _tell_peers(self) -> None:
-        """Exchange with the other gateways what is in flight."""
+    async def _exchange_peer_updates(self) -> None:
+        """Exchange updates with the other gateways."""
 
         def receive(data: bytes, sender: str) -> None:
-            news = self._peers.receive(data, sender, self._clock.now())
-            if news is None:
+            update = self._peers.receive(data, sender, self._clock.now())
+            if update is None:
                 return
             now = self._clock.now()
             self._selection.on_peer_update(
-                news.host, news.zone, news.is_reader, now
+                update.host, update.zone, update.is_reader, now
             )
-            self._feeds.plan.notify_offset(news.plan_offset)
-            for group, age in news.recovery_ages.items():
-                self._core.outages.record_peer_recovery(group, age, news.host)
+            self._feeds.plan.notify_offset(update.plan_offset)
+            for group, age in update.recovery_ages.items():
+                self._core.outages.record_peer_recovery(
+                    group, age, update.host
+                )
 
-        socket = await datagrams.listen(
+        peer_socket = await datagrams.listen(
             self._cfg.address, self._cfg.peer_port, receive
         )
         while True:
-            await asyncio.sleep(PEER_TICK_S)
+            await asyncio.sleep(PEER_UPDATE_CHECK_INTERVAL_S)
             now = self._clock.now()
             self._peers.expire_silent(now)
             self._peers.plan_offset = self._feeds.plan.offset
@@ -219,7 +232,7 @@
             if due is None:
                 continue
             for address in due.addresses:
-                socket.send(due.data, address.host, address.port)
+                peer_socket.send(due.data, address.host, address.port)
 
     def _is_passive(self) -> bool:
         return self._selection.is_passive(self._clock.now())
@@ -227,25 +240,23 @@
     def _snapshot(self) -> list[relay.RelayedRecords]:
         return [self._peer_discovery.snapshot(), *self._feeds.snapshot()]
 
-    def _apply_relayed(self, news: relay.RelayedRecords) -> None:
-        self._feeds.apply_relayed(news)
-        self._peer_discovery.apply_relayed(news)
+    def _apply_relayed(self, relayed: relay.RelayedRecords) -> None:
+        self._feeds.apply_relayed(relayed)
+        self._peer_discovery.apply_relayed(relayed)
 
-    def _reload(self) -> None:
-        """SIGHUP: all that can change is read from the store anyway."""
+    def _on_reload_signal(self) -> None:
+        """Log SIGHUP; what can change is read from the store anyway."""
         events.emit(events.Event.RELOADED, name=self._cfg.name)
 
-    # -- requests --------------------------------------------------------
-
-    async def _handle(
+    async def _handle_request(
         self,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
         self._in_flight += 1
         try:
             exchange = exchange_module.Exchange(
-                core=self._core, request=request, response=answer
+                core=self._core, request=request, response=response
             )
             await exchange.run()
         finally:
@@ -253,7 +264,10 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served here."""
+        """Whether this gateway can serve requests.
+
+        It needs a plan and an endpoint, and must not be draining.
+        """
         return (
             self._core.plan_index is not None
             and len(self._core.directory) > 0
@@ -262,94 +276,96 @@
 
     @property
     def followers(self) -> int:
-        """How many gateways get the store's news from this one."""
+        """Number of gateways to which this one relays store records."""
         return self._publisher.followers
 
     @property
     def endpoints(self) -> int:
-        """How many endpoints are known."""
+        """Number of known endpoints."""
         return len(self._core.directory)
 
     def routable(self, service: str) -> int:
-        """Return how many endpoints of a service may get requests."""
+        """Return the number of a service's endpoints that get requests."""
         now = self._clock.now()
         return len(self._core.directory.routable(service, now))
 
     def outage(self, service: str, group: str = '') -> outage.Outage:
-        """Return what is known of a group of ranks standing still."""
+        """Return the outage state of a group."""
         return self._core.outages.get(service, group)
 
     @property
     def plan_version(self) -> int:
-        """The version of the plan in force, 0 for none."""
+        """Version of the current plan, 0 for none."""
         return self._core.plan_version
 
     async def _answer_health(
         self,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
-        answer.start(200 if self.ready else 503, [(b'content-length', b'0')])
-        answer.end()
+        response.start(200 if self.ready else 503, [(b'content-length', b'0')])
+        response.end()
 
     async def _answer_metrics(
         self,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
         body = self._core.metrics.text()
         headers = [
             (b'content-type', b'text/plain; version=0.0.4'),
             (b'content-length', str(len(body)).encode()),
         ]
-        answer.start(200, headers)
-        answer.write(body)
-        answer.end()
-
-    # -- the end ---------------------------------------------------------
+        response.start(200, headers)
+        response.write(body)
+        response.end()
 
     async def abort(self) -> None:
-        """End at once, whatever is in flight."""
-        if self._leading is not None:
-            self._leading.cancel()
+        """Stop at once, without draining."""
+        if self._leadership_task is not None:
+            self._leadership_task.cancel()
         self._tasks.cancel()
         servers = (
-            self._callers,
-            self._health,
-            self._metrics,
+            self._caller_server,
+            self._health_server,
+            self._metrics_server,
             self._relay_server,
         )
         for server in servers:
             server.close()
         await asyncio.sleep(0)
 
-    async def _end_leading(self) -> None:
-        """Leave no group held, then let another gateway lead."""
+    async def _resign(self) -> None:
+        """Release all groups, then the lease."""
         await self._leadership.drain()
-        if self._leading is not None:
-            self._leading.cancel()
+        if self._leadership_task is not None:
+            self._leadership_task.cancel()
         await self._leadership.release()
 
     async def drain(self) -> None:
-        """Turn callers away, finish what runs, and end in time."""
+        """Stop leading, finish the requests in flight, and stop serving.
+
+        Returns at the latest ``EXIT_MARGIN_S`` before the grace period
+        ends.
+        """
         loop = asyncio.get_running_loop()
-        end = loop.time() + self._cfg.grace_s - EXIT_MARGIN_S
+        drain_deadline = loop.time() + self._cfg.grace_s - EXIT_MARGIN_S
         self._core.draining = True
-        self._callers.closing = True
+        self._caller_server.closing = True
         events.emit(
             events.Event.DRAINING,
             name=self._cfg.name,
             in_flight=self._in_flight,
         )
-        leading = self._tasks.spawn(self._end_leading())
-        await asyncio.sleep(min(BALANCER_WAIT_S, self._cfg.grace_s / 2))
+        resigning = self._tasks.spawn(self._resign())
+        await asyncio.sleep(min(BALANCER_DELAY_S, self._cfg.grace_s / 2))
         self._core.refusing = True
-        self._callers.close()
-        while loop.time() < end:
-            if not self._in_flight and leading.done():
+        self._caller_server.close()
+        while loop.time() < drain_deadline:
+            if not self._in_flight and resigning.done():
                 break
-            self._callers.close_idle()
-            await asyncio.sleep(DRAIN_POLL_S)
+            self._caller_server.close_idle()
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         if self._in_flight:
             events.emit(
                 events.Event.DRAIN_LIMIT,
@@ -357,7 +373,11 @@
                 in_flight=self._in_flight,
             )
         self._tasks.cancel()
-        for server in (self._health, self._metrics, self._relay_server):
+        for server in (
+            self._health_server,
+            self._metrics_server,
+            self._relay_server,
+        ):
             server.close()
         events.emit(events.Event.STOPPED, name=self._cfg.name)
 
@@ -365,7 +385,10 @@
 async def _listen(
     server: http1_server.Server, address: settings.TcpAddress, field: str
 ) -> int:
-    """Start a server where the setting ``field`` says."""
+    """Start a server at the address that the setting ``field`` gives.
+
+    Raises a ``SettingsError`` if the address is unavailable.
+    """
     try:
         return await server.start(address.host, address.port)
     except OSError as exc:
--- a/src/aspenfold/_internal/processes/gateway_metrics.py
+++ b/src/aspenfold/_internal/processes/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway believes, as gauges; see docs/OPERATIONS.md."""
+"""The gauges of a gateway; see docs/OPERATIONS.md."""
 
 import datetime
 import typing
@@ -10,7 +10,7 @@
 from aspenfold._internal.gateway import store_feeds as feeds_module
 
 UNKNOWN_AGE = -1.0
-"""Age of what was never learnt."""
+"""Exported as the age of data that was never read."""
 
 
 def register(
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -1,4 +1,4 @@
-"""An agent's part in a rank group: the machines, wired to I/O."""
+"""Connects an agent's machines of the expert map protocol to I/O."""
 
 import asyncio
 from collections import abc
@@ -15,15 +15,19 @@
 from aspenfold._internal.observability import events
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
-POLL = 0.1
-"""Seconds between two looks at the engine's step."""
+POLL_INTERVAL_S = 0.1
+"""Interval at which the engine's state is polled."""
 
 EngineOrder = messages.OrderReset | messages.OrderPrepare | messages.OrderGrant
 Spawn = abc.Callable[[abc.Coroutine[typing.Any, typing.Any, None]], object]
 
 
 class GroupMember:
-    """Runs the rank's machine, and the leader's on the first rank."""
+    """Runs a rank's machine, and on rank 0 also the leader's.
+
+    The rank's machine is created once the engine has given its state, the
+    leader's once an entry has sent the first map.
+    """
 
     def __init__(
         self,
@@ -38,7 +42,7 @@
         spawn: Spawn,
     ) -> None:
         self._group = group
-        self._number = rank
+        self._rank_number = rank
         self._incarnation = incarnation
         self._clock = clock
         self._rng = rng
@@ -46,42 +50,42 @@
         self._endpoint = endpoint
         self._spawn = spawn
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._rank: rank_machine.RankMachine | None = None
-        self._leader: leader_machine.LeaderMachine | None = None
-        self._plan: tuple[int, leader_machine.Placement] = (0, ())
+        self._rank_machine: rank_machine.RankMachine | None = None
+        self._leader_machine: leader_machine.LeaderMachine | None = None
+        self._newest_map: tuple[int, leader_machine.Placement] = (0, ())
         self.expert_load: list[float] = []
 
     @property
     def map_version(self) -> int:
-        """The newest plan that this agent was told."""
-        return self._plan[0]
+        """The newest map version that an entry sent, 0 for none."""
+        return self._newest_map[0]
 
     @property
     def map_in_use(self) -> int:
-        """The map version of the step under way, 0 for none."""
-        return self._rank.map_in_use if self._rank else 0
+        """The map version of the current step, 0 for none."""
+        return self._rank_machine.map_in_use if self._rank_machine else 0
 
     async def run(self) -> None:
-        """Follow the engine and keep the protocol going, for ever."""
-        while self._rank is None:
-            await self._begin()
-            await asyncio.sleep(POLL)
+        """Poll the engine and run the protocol until cancelled."""
+        while self._rank_machine is None:
+            await self._create_rank_machine()
+            await asyncio.sleep(POLL_INTERVAL_S)
         while True:
-            await self._follow_engine(self._rank)
-            if self._leader is not None:
-                self._apply(self._leader.tick(self._clock.now()))
-            await asyncio.sleep(POLL)
+            await self._poll_engine(self._rank_machine)
+            if self._leader_machine is not None:
+                self._apply(self._leader_machine.tick(self._clock.now()))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def receive(self, message: messages.Message) -> None:
-        """Take a message from another agent of the group."""
+        """Handle a message from an agent of the group."""
         if message.kind in messages.TO_RANKS:
-            if self._rank is not None:
-                self._apply(self._rank.receive(message))
-        elif self._leader is not None:
-            self._apply(self._leader.receive(message))
+            if self._rank_machine is not None:
+                self._apply(self._rank_machine.receive(message))
+        elif self._leader_machine is not None:
+            self._apply(self._leader_machine.receive(message))
 
     def on_report_request(self, request: pb.ReportRequest) -> None:
-        """Take the ranks' addresses and the newest plan from an entry."""
+        """Store the ranks' addresses and the newest map from an entry."""
         for rank in request.ranks:
             self._addresses[rank.rank] = (rank.address, rank.port)
         if request.map_version <= self.map_version:
@@ -89,35 +93,37 @@
         if not request.placement:
             return
         placement = codec.placement_from_bytes(request.placement)
-        self._plan = (request.map_version, placement)
-        if self._leader is not None:
-            self._apply(self._leader.set_plan(*self._plan))
+        self._newest_map = (request.map_version, placement)
+        if self._leader_machine is not None:
+            self._apply(self._leader_machine.set_plan(*self._newest_map))
 
-    async def _begin(self) -> None:
+    async def _create_rank_machine(self) -> None:
+        """Create the machine if the engine gives its state."""
         state = await self._endpoint.fetch_state()
         if state is None:
             return
-        self._rank = rank_machine.RankMachine(
+        self._rank_machine = rank_machine.RankMachine(
             group=self._group,
-            rank=self._number,
+            rank=self._rank_number,
             incarnation=self._incarnation,
             prepared=state['prepared'],
             step=state['step'],
         )
 
-    def _ensure_leader(self) -> None:
-        if self._number != 0 or self._leader is not None:
+    def _ensure_leader_machine(self) -> None:
+        """Create the machine on rank 0 once there is a map."""
+        if self._rank_number != 0 or self._leader_machine is not None:
             return
-        version, placement = self._plan
+        version, placement = self._newest_map
         if not version:
             return
-        self._leader = leader_machine.LeaderMachine(
+        self._leader_machine = leader_machine.LeaderMachine(
             group=self._group, ranks=len(placement), rng=self._rng
         )
-        self._leader.set_plan(version, placement)
+        self._leader_machine.set_plan(version, placement)
 
-    async def _follow_engine(self, rank: rank_machine.RankMachine) -> None:
-        self._ensure_leader()
+    async def _poll_engine(self, machine: rank_machine.RankMachine) -> None:
+        self._ensure_leader_machine()
         state = await self._endpoint.fetch_state()
         if state is None:
             return
@@ -126,48 +132,48 @@
             messages.StepRun(first=first, last=last, version=version)
             for first, last, version in state['runs']
         ]
-        self._apply(rank.on_engine_state(state['step'], runs))
+        self._apply(machine.on_engine_state(state['step'], runs))
 
     def _apply(self, actions: list[messages.Action]) -> None:
         for action in actions:
             match action:
                 case messages.SendMessage():
-                    self._send(action.message)
+                    self._send_message(action.message)
                 case _:
-                    self._spawn(self._order(action))
+                    self._spawn(self._send_order(action))
 
-    def _send(self, message: messages.Message) -> None:
-        if message.target == self._number:
+    def _send_message(self, message: messages.Message) -> None:
+        if message.target == self._rank_number:
             asyncio.get_running_loop().call_soon(self.receive, message)
             return
         address = self._addresses.get(message.target)
         if address is not None:
             self._spawn(self._clients.send_group_message(*address, message))
 
-    async def _order(self, action: EngineOrder) -> None:
-        """Give the engine an order, and the machine its answer."""
-        rank = self._rank
-        assert rank is not None
+    async def _send_order(self, action: EngineOrder) -> None:
+        """Send an order to the engine and pass its answer to the machine."""
+        machine = self._rank_machine
+        assert machine is not None
         answer = await self._endpoint.send_order(_order_body(action))
         if answer is None:
             events.emit(
                 events.Event.ORDER_REFUSED,
                 group=self._group,
-                rank=self._number,
+                rank=self._rank_number,
                 order=type(action).__name__,
                 fencing=action.fencing,
             )
-            self._apply(rank.on_order_failed(action))
+            self._apply(machine.on_order_failed(action))
             return
         match action:
             case messages.OrderReset(fencing=token):
-                result = rank.on_engine_reset(
+                result = machine.on_engine_reset(
                     token, answer['granted_to'], answer['step']
                 )
             case messages.OrderPrepare(version=version):
-                result = rank.on_engine_prepared(version)
+                result = machine.on_engine_prepared(version)
             case messages.OrderGrant(run=run, fencing=token):
-                result = rank.on_engine_granted(run, token)
+                result = machine.on_engine_granted(run, token)
         self._apply(result)
 
 
--- a/src/aspenfold/_internal/processes/log_tail.py
+++ b/src/aspenfold/_internal/processes/log_tail.py
@@ -1,4 +1,4 @@
-"""Follows the log's streams and appends to them, off the loop's thread."""
+"""Reads streams of the log and appends claims, using threads."""
 
 import asyncio
 from collections import abc
@@ -13,15 +13,19 @@
 from aspenfold._internal.network import log_client
 from aspenfold._internal.observability import events
 
-RETRY = 0.2
-"""Mean seconds between two tries while the log is away."""
+RETRY_DELAY_S = 0.2
+"""Mean delay between attempts while the log service is unavailable."""
 
-CLAIM_LIFE = datetime.timedelta(seconds=3)
-"""How long a batch of claims is worth appending again."""
+APPEND_TIMEOUT = datetime.timedelta(seconds=3)
+"""How long to retry the append of a batch of claims."""
 
 
 class LogTail:
-    """Long polls each stream in a thread; pages go to the loop."""
+    """Reads streams by long polling, in one thread for each.
+
+    ``streams`` is their number.  ``on_lost`` is called after each failed
+    read.
+    """
 
     def __init__(
         self,
@@ -29,11 +33,11 @@
         client: log_client.LogClient,
         streams: int,
         rng: random.Random,
-        lost: abc.Callable[[], None],
+        on_lost: abc.Callable[[], None],
     ) -> None:
         self._client = client
         self._rng = rng
-        self._lost = lost
+        self._on_lost = on_lost
         self._up = True
         self._executor = concurrent.futures.ThreadPoolExecutor(
             max_workers=streams, thread_name_prefix='log'
@@ -43,46 +47,49 @@
         self,
         stream: str,
         position: abc.Callable[[], int],
-        take: abc.Callable[[reader.Page], None],
+        apply_page: abc.Callable[[reader.Page], None],
     ) -> None:
-        """Read ``stream`` from ``position()`` on, for ever."""
+        """Pass pages of ``stream`` to ``apply_page`` until cancelled.
+
+        Each read starts at the offset that ``position()`` returns.
+        """
         loop = asyncio.get_running_loop()
         while True:
-            start = position()
+            offset = position()
             try:
                 page = await loop.run_in_executor(
-                    self._executor, self._read, stream, start
+                    self._executor, self._read, stream, offset
                 )
             except exceptions.LogUnavailable as exc:
-                self._note_lost(str(exc))
-                await asyncio.sleep(RETRY * (0.5 + self._rng.random()))
+                self._on_read_failed(str(exc))
+                await asyncio.sleep(RETRY_DELAY_S * (0.5 + self._rng.random()))
                 continue
-            self._note_back()
-            take(page)
+            self._on_read_succeeded()
+            apply_page(page)
 
     def close(self) -> None:
         """Stop reading."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
-    def _read(self, stream: str, start: int) -> reader.Page:
+    def _read(self, stream: str, offset: int) -> reader.Page:
         return self._client.read(
-            stream, start, wait_ms=log_client.LONG_POLL_WAIT_MS
+            stream, offset, wait_ms=log_client.LONG_POLL_WAIT_MS
         )
 
-    def _note_lost(self, detail: str) -> None:
-        self._lost()
+    def _on_read_failed(self, detail: str) -> None:
+        self._on_lost()
         if self._up:
             events.emit(events.Event.LOG_LOST, detail=detail)
         self._up = False
 
-    def _note_back(self) -> None:
+    def _on_read_succeeded(self) -> None:
         if not self._up:
             events.emit(events.Event.LOG_BACK)
         self._up = True
 
 
 class ClaimWriter:
-    """Appends claims; those that come during an append go together."""
+    """Appends claims; claims queued during an append form the next batch."""
 
     def __init__(
         self,
@@ -98,41 +105,48 @@
         self._clock = clock
         self._new_id = new_id
         self._executor = executor
-        self._waiting: dict[str, list[records.Claim]] = {}
-        self._busy: set[str] = set()
+        self._queued: dict[str, list[records.Claim]] = {}
+        self._appending: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def append(self, stream: str, claim: records.Claim) -> None:
-        """Queue a claim; the fold of the stream tells its fate."""
-        self._waiting.setdefault(stream, []).append(claim)
-        if stream in self._busy:
+        """Queue a claim for the next append.
+
+        Reading the stream shows whether the claim is valid.
+        """
+        self._queued.setdefault(stream, []).append(claim)
+        if stream in self._appending:
             return
-        self._busy.add(stream)
-        task = asyncio.get_running_loop().create_task(self._drain(stream))
+        self._appending.add(stream)
+        task = asyncio.get_running_loop().create_task(
+            self._append_queued(stream)
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _drain(self, stream: str) -> None:
+    async def _append_queued(self, stream: str) -> None:
         try:
-            while claims := self._waiting.pop(stream, []):
-                await self._write(stream, claims)
+            while claims := self._queued.pop(stream, []):
+                await self._append_batch(stream, claims)
         finally:
-            self._busy.discard(stream)
+            self._appending.discard(stream)
 
-    async def _write(self, stream: str, claims: list[records.Claim]) -> None:
+    async def _append_batch(
+        self, stream: str, claims: list[records.Claim]
+    ) -> None:
         loop = asyncio.get_running_loop()
-        now = self._clock.now()
+        started_at = self._clock.now()
         batch = records.ClaimBatch(
-            id=self._new_id(), author=self._name, at=now, claims=claims
+            id=self._new_id(), author=self._name, at=started_at, claims=claims
         )
-        while self._clock.now() < now + CLAIM_LIFE:
+        while self._clock.now() < started_at + APPEND_TIMEOUT:
             try:
                 await loop.run_in_executor(
                     self._executor, self._client.append, stream, batch
                 )
             except exceptions.LogUnavailable:
-                # It may have taken effect.  A second copy is harmless:
-                # its claims name holders that are no longer the last.
-                await asyncio.sleep(RETRY)
+                # The append may have taken effect.  A second copy is
+                # harmless: its claims name holders that were replaced since.
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             return
--- a/src/aspenfold/_internal/processes/peer_service.py
+++ b/src/aspenfold/_internal/processes/peer_service.py
@@ -1,4 +1,4 @@
-"""The RPC service by which entries hand each other the fleet state."""
+"""The RPC service through which entries share the fleet state."""
 
 import typing
 
@@ -9,20 +9,20 @@
 
 
 class FleetProvider(typing.Protocol):
-    """What the service needs of the entry."""
+    """The part of the entry process that the service uses."""
 
     def fleet_since(self, have_offset: int) -> pb.FleetReply:
         """Return the fleet state if it is later than ``have_offset``."""
 
 
 class PeerService(rpc.PeerBase):
-    """Answers a peer that is cut off from the platform."""
+    """Gives the fleet state to peers that cannot read the log."""
 
     def __init__(self, *, entry: FleetProvider) -> None:
         self._entry = entry
 
     async def Fleet(self, stream: grpclib.server.Stream) -> None:
-        """Give the fleet state to a peer that has an earlier one."""
+        """Send the fleet state if it is later than the peer's."""
         message = await stream.recv_message()
         if message is None:
             return
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -1,7 +1,8 @@
-"""An entry's side towards the platform and its peers.
+"""Connects an entry's kernel to the log, the host list and the peers.
 
-Follows the log and the host list into the kernel, writes the records of
-its duties, and asks peers for the fleet while the log is away.
+The log and the host list are read into the kernel, and the records of the
+leased tasks are appended to the log.  While the log is unavailable, the fleet
+state is requested from peers.
 """
 
 import asyncio
@@ -31,14 +32,14 @@
 from aspenfold._internal.processes import log_tail
 from aspenfold._internal.processes import tasks as tasks_module
 
-HOST_LIST_INTERVAL = 0.5
-DUTY_INTERVAL = 0.5
-PEER_INTERVAL = 1.0
+HOST_LIST_POLL_INTERVAL_S = 0.5
+LEASED_TASKS_INTERVAL_S = 0.5
+PEER_POLL_INTERVAL_S = 1.0
 IO_THREADS = 8
 
 
 class Entry(typing.Protocol):
-    """What the feed needs of the entry."""
+    """The part of the entry process that the feed uses."""
 
     cfg: settings.EntrySettings
     kernel: entry_kernel.EntryKernel
@@ -46,12 +47,12 @@
     clients: agent_client.AgentClients
     tasks: tasks_module.BackgroundTasks
 
-    def apply(self, result: list[actions.Action]) -> None:
-        """Carry out the kernel's actions."""
+    def apply(self, new_actions: list[actions.Action]) -> None:
+        """Perform the kernel's actions."""
 
 
 class PlatformFeed:
-    """Keeps the kernel's view of the platform current."""
+    """Reads platform data into the kernel and appends its records."""
 
     def __init__(self, *, entry: Entry, rng: random.Random) -> None:
         cfg = entry.cfg
@@ -59,16 +60,16 @@
         self._kernel = entry.kernel
         self._rng = rng
         self._executor = concurrent.futures.ThreadPoolExecutor(IO_THREADS)
-        self._log = log_client.LogClient(base_url=cfg.platform.log.url)
-        self._tail = log_tail.LogTail(
-            client=self._log,
+        self._log_client = log_client.LogClient(base_url=cfg.platform.log.url)
+        self._log_tail = log_tail.LogTail(
+            client=self._log_client,
             streams=cfg.claim_streams + 1,
             rng=rng,
-            lost=entry.kernel.on_log_lost,
+            on_lost=entry.kernel.on_log_lost,
         )
-        self._claims = log_tail.ClaimWriter(
+        self._claim_writer = log_tail.ClaimWriter(
             name=cfg.name,
-            client=self._log,
+            client=self._log_client,
             clock=entry.clock,
             new_id=entry.kernel.new_id,
             executor=self._executor,
@@ -85,95 +86,99 @@
         self.host_list = hosts.HostList(version=0, hosts=[])
 
     def start(self) -> None:
-        """Start to follow everything."""
+        """Start the tasks that read, append and ask peers."""
         spawn = self._entry.tasks.spawn
         spawn(
-            self._tail.follow(
+            self._log_tail.follow(
                 records.FLEET_STREAM,
                 lambda: self._kernel.fleet_reader.position,
-                self._take_fleet,
+                self._apply_fleet_page,
             )
         )
         for index in range(self._entry.cfg.claim_streams):
             spawn(self._follow_claims(records.claim_stream(index)))
-        spawn(self._read_hosts())
-        spawn(self._do_duties())
-        spawn(self._ask_peers())
+        spawn(self._poll_host_list())
+        spawn(self._run_leased_tasks())
+        spawn(self._poll_peers())
 
     def append_claim(self, stream: str, claim: records.Claim) -> None:
-        """Append a claim; the fold of the stream tells its fate."""
-        self._claims.append(stream, claim)
+        """Append a claim; reading the stream shows whether it is valid."""
+        self._claim_writer.append(stream, claim)
 
     def close(self) -> None:
         """Stop reading."""
-        self._tail.close()
+        self._log_tail.close()
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     async def _follow_claims(self, stream: str) -> None:
-        def take(page: reader.Page) -> None:
+        def apply_page(page: reader.Page) -> None:
             now = self._entry.clock.now()
             self._entry.apply(self._kernel.on_claims_page(stream, page, now))
 
-        await self._tail.follow(
-            stream, lambda: self._kernel.claims_position(stream), take
+        await self._log_tail.follow(
+            stream, lambda: self._kernel.claims_position(stream), apply_page
         )
 
-    def _take_fleet(self, page: reader.Page) -> None:
-        for judged in self._kernel.on_fleet_page(page):
-            offset = judged.record.offset
-            kind = judged.record.body.get('type')
+    def _apply_fleet_page(self, page: reader.Page) -> None:
+        for applied in self._kernel.on_fleet_page(page):
+            offset = applied.record.offset
+            kind = applied.record.body.get('type')
             if kind == 'snapshot':
                 self._leased_tasks.on_snapshot(offset, self._entry.clock.now())
-            if judged.verdict is not reducer.Verdict.ACCEPTED:
+            if applied.verdict is not reducer.Verdict.ACCEPTED:
                 events.emit(
                     events.Event.RECORD_REJECTED,
                     offset=offset,
                     kind=kind,
-                    verdict=judged.verdict.value,
+                    verdict=applied.verdict.value,
                 )
             elif kind == 'config':
                 events.emit(events.Event.CONFIG_IN_FORCE, version=offset)
 
-    async def _read_hosts(self) -> None:
-        lost = False
+    async def _poll_host_list(self) -> None:
+        unavailable = False
         while True:
             try:
-                host_list = await self._in_thread(self._host_list_client.read)
+                host_list = await self._run_in_thread(
+                    self._host_list_client.read
+                )
             except exceptions.AspenfoldError as exc:
-                if not lost:
+                if not unavailable:
                     events.emit(events.Event.HOST_LIST_LOST, detail=str(exc))
-                lost = True
+                unavailable = True
             else:
-                lost = False
+                unavailable = False
                 self.host_list = host_list
                 self._kernel.on_host_list(host_list)
-            await asyncio.sleep(HOST_LIST_INTERVAL)
+            await asyncio.sleep(HOST_LIST_POLL_INTERVAL_S)
 
-    async def _do_duties(self) -> None:
+    async def _run_leased_tasks(self) -> None:
         while True:
-            await asyncio.sleep(DUTY_INTERVAL)
-            reading = self._kernel.fleet_reader
-            if not self._kernel.log_up or reading.awaiting_snapshot:
+            await asyncio.sleep(LEASED_TASKS_INTERVAL_S)
+            fleet_reader = self._kernel.fleet_reader
+            if not self._kernel.log_up or fleet_reader.awaiting_snapshot:
                 continue
             for record in self._leased_tasks.tick(
-                reading.state, self._expert_loads(), self._entry.clock.now()
+                fleet_reader.state,
+                self._expert_loads(),
+                self._entry.clock.now(),
             ):
                 await self._append(record)
 
     def _expert_loads(self) -> dict[str, list[float]]:
         return {
-            known.host.group: known.expert_load
-            for known in self._kernel.view.watched()
-            if known.expert_load
+            endpoint.host.group: endpoint.expert_load
+            for endpoint in self._kernel.view.watched()
+            if endpoint.expert_load
         }
 
     async def _append(self, record: records.Record) -> None:
         try:
-            offset = await self._in_thread(
-                lambda: self._log.append(records.FLEET_STREAM, record)
+            offset = await self._run_in_thread(
+                lambda: self._log_client.append(records.FLEET_STREAM, record)
             )
         except exceptions.LogUnavailable:
-            # Its fate shows when the stream is read.
+            # Reading the stream shows whether it was appended.
             return
         events.emit(
             events.Event.RECORD_WRITTEN,
@@ -181,14 +186,14 @@
             kind=getattr(record, 'type', ''),
         )
 
-    async def _ask_peers(self) -> None:
+    async def _poll_peers(self) -> None:
         while True:
-            await asyncio.sleep(PEER_INTERVAL)
+            await asyncio.sleep(PEER_POLL_INTERVAL_S)
             if self._kernel.log_up and self._kernel.fleet is not None:
                 continue
             peers = self._peer_addresses()
             if peers:
-                await self._ask_peer(*self._rng.choice(peers))
+                await self._poll_peer(*self._rng.choice(peers))
 
     def _peer_addresses(self) -> list[tuple[str, int]]:
         cfg = self._entry.cfg
@@ -202,10 +207,12 @@
         configured = [(str(p.address), p.port) for p in cfg.peers]
         return listed + configured
 
-    async def _ask_peer(self, address: str, port: int) -> None:
-        have = self._kernel.fleet_reader.state.next_offset
+    async def _poll_peer(self, address: str, port: int) -> None:
+        have_offset = self._kernel.fleet_reader.state.next_offset
         try:
-            reply = await self._entry.clients.fetch_fleet(address, port, have)
+            reply = await self._entry.clients.fetch_fleet(
+                address, port, have_offset
+            )
         except agent_client.CALL_ERRORS:
             return
         if not reply.state:
@@ -214,7 +221,7 @@
             data = orjson.loads(reply.state)
             state = state_module.FleetState.from_json(data)
         except (orjson.JSONDecodeError, pydantic.ValidationError):
-            # A peer of another version; another one may be of use.
+            # A peer of another version; the next one may be compatible.
             return
         if self._kernel.adopt_state(state):
             events.emit(
@@ -223,7 +230,7 @@
                 version=state.version,
             )
 
-    async def _in_thread(
+    async def _run_in_thread(
         self, work: abc.Callable[[], tasks_module.Result]
     ) -> tasks_module.Result:
         loop = asyncio.get_running_loop()
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -1,7 +1,7 @@
-"""The agent on a rank's host: passes a leader's calls on to the engine.
+"""The rank agent: forwards a leader's requests to the engine on its host.
 
-It decides nothing and keeps nothing.  An engine's silence is passed on as
-silence: the connection ends without an answer.
+If the engine does not answer, the leader's connection is closed without a
+response.
 """
 
 import asyncio
@@ -18,17 +18,23 @@
 from aspenfold._internal.network import port_errors
 from aspenfold._internal.observability import events
 
-FINISH_LIMIT = datetime.timedelta(milliseconds=500)
-"""Longest wait of an ending agent for what is under way: an engine's client
-gives a call up after 0.4 s."""
+DRAIN_TIMEOUT = datetime.timedelta(milliseconds=500)
+"""Time for the requests in flight to end.
 
-FINISH_POLL = datetime.timedelta(milliseconds=10)
+Longer than the timeout of a request to the engine.
+"""
+
+DRAIN_POLL_INTERVAL = datetime.timedelta(milliseconds=10)
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class RankAgent:
-    """Serves leaders at one address, for one engine."""
+    """Forwards requests for one engine.
+
+    ``forwarded`` counts requests that the engine answered, and
+    ``engine_failures`` those that it did not.
+    """
 
     def __init__(
         self,
@@ -39,9 +45,9 @@
         order_target: bytes,
         clock: clock_module.Clock,
     ) -> None:
-        """Pass on what asks for ``read_targets`` or posts an ``order``.
+        """Forward GETs of ``read_targets`` and POSTs to ``order_target``.
 
-        All else is refused.
+        All other requests get the status 404.
         """
         self._cfg = cfg
         self._engine = engine
@@ -49,7 +55,7 @@
         self._order_target = order_target
         self._stop = asyncio.Event()
         self._server = http1_server.Server(
-            handler=self._handle,
+            handler=self._handle_request,
             clock=clock,
             limits=lambda: plan.DEFAULT_LIMITS,
         )
@@ -58,18 +64,18 @@
         self.engine_failures = 0
 
     async def run(self) -> None:
-        """Serve until told to end."""
+        """Serve until SIGTERM or SIGINT, then drain."""
         loop = asyncio.get_running_loop()
-        for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        for signal_number in STOP_SIGNALS:
+            loop.add_signal_handler(signal_number, self._stop.set)
+        loop.add_signal_handler(signal.SIGHUP, self._on_reload_signal)
         await self.start()
         await self._stop.wait()
         await self.drain()
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
 
     async def start(self) -> None:
-        """Listen; raise a coded error if the port is taken."""
+        """Listen.  Raises a ``SettingsError`` if the port is unavailable."""
         address = self._cfg.listen
         try:
             await self._server.start(address.host, address.port)
@@ -86,18 +92,18 @@
         )
 
     async def drain(self) -> None:
-        """Stop serving, once what is under way has been answered.
+        """Finish the requests in flight, and stop serving.
 
-        Connections that wait for a next call are closed: one that came
-        while the process ends would be lost in it.
+        Idle connections are closed, so that no further request arrives
+        and is lost when the process exits.
         """
         self._server.closing = True
         self._server.close()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FINISH_LIMIT.total_seconds()):
+            async with asyncio.timeout(DRAIN_TIMEOUT.total_seconds()):
                 while self._in_flight:
                     self._server.close_idle()
-                    await asyncio.sleep(FINISH_POLL.total_seconds())
+                    await asyncio.sleep(DRAIN_POLL_INTERVAL.total_seconds())
         self._server.close_idle()
         if self._in_flight:
             events.emit(
@@ -112,28 +118,28 @@
             silent=self.engine_failures,
         )
 
-    def _reload(self) -> None:
-        """SIGHUP: nothing here can change while the engine lives."""
+    def _on_reload_signal(self) -> None:
+        """Log SIGHUP; the settings cannot change while the program runs."""
         events.emit(events.Event.RELOADED, name=self._cfg.name)
 
-    async def _handle(
+    async def _handle_request(
         self,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
-        if not self._passes_on(request):
-            _answer(answer, 404, b'')
+        if not self._is_allowed(request):
+            _send_response(response, 404, b'')
             return
         self._in_flight += 1
         try:
-            await self._pass_on(request, answer)
+            await self._forward(request, response)
         finally:
             self._in_flight -= 1
 
-    async def _pass_on(
+    async def _forward(
         self,
         request: http1_server.Request,
-        answer: http1_server.ResponseWriter,
+        response: http1_server.ResponseWriter,
     ) -> None:
         engine = self._cfg.engine
         try:
@@ -147,23 +153,23 @@
                 target=request.target.decode('latin-1'),
                 error=str(exc)[:200],
             )
-            answer.abort()
+            response.abort()
             return
         self.forwarded += 1
-        _answer(answer, status, body)
+        _send_response(response, status, body)
 
-    def _passes_on(self, request: http1_server.Request) -> bool:
+    def _is_allowed(self, request: http1_server.Request) -> bool:
         if request.method == b'GET':
             return request.target in self._read_targets and not request.body
         is_order = request.method == b'POST' and bool(request.body)
         return is_order and request.target == self._order_target
 
 
-def _answer(
-    answer: http1_server.ResponseWriter, status: int, body: bytes
+def _send_response(
+    response: http1_server.ResponseWriter, status: int, body: bytes
 ) -> None:
     length = str(len(body)).encode()
-    answer.start(status, [(b'content-length', length)])
+    response.start(status, [(b'content-length', length)])
     if body:
-        answer.write(body)
-    answer.end()
+        response.write(body)
+    response.end()
--- a/src/aspenfold/_internal/processes/report_poller.py
+++ b/src/aspenfold/_internal/processes/report_poller.py
@@ -1,4 +1,7 @@
-"""Asks the watched endpoints' agents for reports, and tells them news."""
+"""Polls the agents of an entry's endpoints for reports.
+
+The requests carry drain orders and new expert maps to the agents.
+"""
 
 import asyncio
 import datetime
@@ -15,15 +18,18 @@
 from aspenfold._internal.processes import tasks as tasks_module
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
-LOOK = 0.1
-"""Seconds between two looks at which endpoints are to be asked."""
+CHECK_INTERVAL_S = 0.1
+"""How often to check which reports are due."""
+
+BUSY_INTERVAL_FACTOR = 2
+"""Report intervals between two polls of an endpoint that sends answers.
 
-BUSY_FACTOR = 2
-"""A busy endpoint is asked after this many intervals."""
+Answers carry the load too, so its agent is polled less often.
+"""
 
 
 class Entry(typing.Protocol):
-    """What the watcher needs of the entry."""
+    """The part of the entry process that the poller uses."""
 
     name: str
     kernel: entry_kernel.EntryKernel
@@ -33,90 +39,100 @@
 
 
 class ReportPoller:
-    """One report an interval from each watched endpoint."""
+    """Requests a report from each watched endpoint once per interval."""
 
     def __init__(self, *, entry: Entry) -> None:
         self._entry = entry
         self._pending: set[str] = set()
-        self._asked: dict[str, datetime.datetime] = {}
-        self._lost: set[str] = set()
+        self._requested_at: dict[str, datetime.datetime] = {}
+        self._failed: set[str] = set()
 
     async def run(self) -> None:
-        """Watch for ever."""
+        """Poll until cancelled."""
         while True:
             now = self._entry.clock.now()
-            for known in self._entry.kernel.view.watched():
-                if known.name not in self._pending and self._due(known, now):
-                    self._pending.add(known.name)
-                    self._asked[known.name] = now
-                    self._entry.tasks.spawn(self._ask(known))
-            await asyncio.sleep(LOOK)
-
-    def _due(
-        self, known: endpoint_module.Endpoint, now: datetime.datetime
+            for endpoint in self._entry.kernel.view.watched():
+                if endpoint.name not in self._pending and self._is_due(
+                    endpoint, now
+                ):
+                    self._pending.add(endpoint.name)
+                    self._requested_at[endpoint.name] = now
+                    self._entry.tasks.spawn(self._poll(endpoint))
+            await asyncio.sleep(CHECK_INTERVAL_S)
+
+    def _is_due(
+        self, endpoint: endpoint_module.Endpoint, now: datetime.datetime
     ) -> bool:
-        """Return whether an endpoint is to be asked now.
+        """Return whether an endpoint should be polled now.
 
-        Answers carry the load, so a busy endpoint is asked less often;
-        news for its agent does not wait.
+        Drain orders and new maps do not wait for the interval.
         """
         view = self._entry.kernel.view
         interval = view.report_interval()
-        asked = self._asked.get(known.name)
-        if asked is None or now >= asked + interval * BUSY_FACTOR:
+        requested_at = self._requested_at.get(endpoint.name)
+        if (
+            requested_at is None
+            or now >= requested_at + interval * BUSY_INTERVAL_FACTOR
+        ):
             return True
-        if now < asked + view_module.MIN_REPORT_INTERVAL:
+        if now < requested_at + view_module.MIN_REPORT_INTERVAL:
             return False
-        if view.is_leaving(known.name) and not known.load.draining:
+        if view.is_leaving(endpoint.name) and not endpoint.load.draining:
             return True
-        if self._newer_map(known) is not None:
+        if self._newer_map(endpoint) is not None:
             return True
-        heard = known.last_report_at
-        return heard is None or now >= max(heard, asked) + interval
+        last_report_at = endpoint.last_report_at
+        return (
+            last_report_at is None
+            or now >= max(last_report_at, requested_at) + interval
+        )
 
-    async def _ask(self, known: endpoint_module.Endpoint) -> None:
-        host = known.host
+    async def _poll(self, endpoint: endpoint_module.Endpoint) -> None:
+        host = endpoint.host
         try:
             reply = await self._entry.clients.report(
-                str(host.address), host.port, self._request(known)
+                str(host.address), host.port, self._create_request(endpoint)
             )
         except agent_client.CALL_ERRORS as exc:
-            self._note_lost(known, exc)
+            self._on_poll_failed(endpoint, exc)
             return
         finally:
-            self._pending.discard(known.name)
-        self._lost.discard(known.name)
-        if reply.incarnation != known.incarnation:
+            self._pending.discard(endpoint.name)
+        self._failed.discard(endpoint.name)
+        if reply.incarnation != endpoint.incarnation:
             events.emit(
                 events.Event.INCARNATION_CHANGED,
-                endpoint=known.name,
-                old=known.incarnation,
+                endpoint=endpoint.name,
+                old=endpoint.incarnation,
                 new=reply.incarnation,
             )
         self._entry.kernel.view.update_report(
-            known.name,
+            endpoint.name,
             reply.incarnation,
             codec.load_from_pb(reply.load),
             self._entry.clock.now(),
         )
-        known.map_version = reply.map_version
-        known.map_in_use = reply.map_in_use
-        known.expert_load = list(reply.expert_load)
+        endpoint.map_version = reply.map_version
+        endpoint.map_in_use = reply.map_in_use
+        endpoint.expert_load = list(reply.expert_load)
 
-    def _note_lost(
-        self, known: endpoint_module.Endpoint, exc: BaseException
+    def _on_poll_failed(
+        self, endpoint: endpoint_module.Endpoint, exc: BaseException
     ) -> None:
-        if known.name in self._lost:
+        """Log the first of several failures in a row."""
+        if endpoint.name in self._failed:
             return
-        self._lost.add(known.name)
+        self._failed.add(endpoint.name)
         events.emit(
-            events.Event.REPORT_LOST, endpoint=known.name, error=repr(exc)
+            events.Event.REPORT_LOST, endpoint=endpoint.name, error=repr(exc)
         )
 
-    def _request(self, known: endpoint_module.Endpoint) -> pb.ReportRequest:
+    def _create_request(
+        self, endpoint: endpoint_module.Endpoint
+    ) -> pb.ReportRequest:
         kernel = self._entry.kernel
         state = kernel.fleet_reader.state
-        order = kernel.view.drain_order(known.name, state.next_offset - 1)
+        order = kernel.view.drain_order(endpoint.name, state.next_offset - 1)
         request = pb.ReportRequest(
             entry=self._entry.name,
             version=state.version,
@@ -124,33 +140,33 @@
             drain_token=order.token,
             leaving=order.leaving,
         )
-        if known.host.group:
-            self._add_group(request, known)
+        if endpoint.host.group:
+            self._add_group_fields(request, endpoint)
         return request
 
-    def _add_group(
-        self, request: pb.ReportRequest, known: endpoint_module.Endpoint
+    def _add_group_fields(
+        self, request: pb.ReportRequest, endpoint: endpoint_module.Endpoint
     ) -> None:
-        for other in self._entry.kernel.view.group(known.host.group):
+        for member in self._entry.kernel.view.group(endpoint.host.group):
             request.ranks.add(
-                rank=other.host.rank,
-                address=str(other.host.address),
-                port=other.host.port,
+                rank=member.host.rank,
+                address=str(member.host.address),
+                port=member.host.port,
             )
-        current = self._newer_map(known)
-        if current is None:
+        newer_map = self._newer_map(endpoint)
+        if newer_map is None:
             return
-        request.map_version = current.version
+        request.map_version = newer_map.version
         request.placement = codec.placement_to_bytes(
-            tuple(tuple(experts) for experts in current.placement)
+            tuple(tuple(experts) for experts in newer_map.placement)
         )
 
     def _newer_map(
-        self, known: endpoint_module.Endpoint
+        self, endpoint: endpoint_module.Endpoint
     ) -> state_module.MapVersion | None:
-        """Return the plan that the endpoint's agent was not told yet."""
+        """Return the newest map if the endpoint's agent does not have it."""
         maps = self._entry.kernel.fleet_reader.state.maps
-        current = maps.get(known.host.group)
-        if current is None or current.version <= known.map_version:
+        newest = maps.get(endpoint.host.group)
+        if newest is None or newest.version <= endpoint.map_version:
             return None
-        return current
+        return newest
--- a/src/aspenfold/_internal/processes/status.py
+++ b/src/aspenfold/_internal/processes/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators: its status, and where a call would go."""
+"""Reports for operators: an entry's status, and how it routes a request."""
 
 import datetime
 import typing
@@ -10,10 +10,11 @@
 from aspenfold._internal.models import settings
 
 MAX_REPORT_AGE = datetime.timedelta(seconds=3)
+"""Reports that are older are shown as stale."""
 
 
 class Entry(typing.Protocol):
-    """What the report needs of the entry."""
+    """The part of the entry process that the reports use."""
 
     name: str
     cfg: settings.EntrySettings
@@ -22,7 +23,7 @@
 
     @property
     def host_list(self) -> hosts.HostList:
-        """The host list as last read."""
+        """The most recently read host list."""
 
 
 def report(entry: Entry) -> dict[str, typing.Any]:
@@ -46,52 +47,56 @@
         },
         'maps': {name: m.version for name, m in state.maps.items()},
         'endpoints': [
-            _endpoint(entry, known, now)
-            for known in sorted(
-                entry.kernel.view.endpoints(), key=lambda known: known.name
+            _endpoint_status(entry, endpoint, now)
+            for endpoint in sorted(
+                entry.kernel.view.endpoints(),
+                key=lambda endpoint: endpoint.name,
             )
         ],
     }
 
 
-def _endpoint(
-    entry: Entry, known: endpoint_module.Endpoint, now: datetime.datetime
+def _endpoint_status(
+    entry: Entry, endpoint: endpoint_module.Endpoint, now: datetime.datetime
 ) -> dict[str, typing.Any]:
     age = None
-    if known.last_report_at is not None:
-        age = round((now - known.last_report_at).total_seconds(), 3)
+    if endpoint.last_report_at is not None:
+        age = round((now - endpoint.last_report_at).total_seconds(), 3)
     return {
-        'name': known.name,
-        'service': known.host.service,
-        'availability_zone': known.zone,
-        'incarnation': known.incarnation,
-        'leaving': entry.kernel.view.is_leaving(known.name),
-        'pressure': round(known.pressure, 3),
-        'in_flight_here': known.in_flight,
+        'name': endpoint.name,
+        'service': endpoint.host.service,
+        'availability_zone': endpoint.zone,
+        'incarnation': endpoint.incarnation,
+        'leaving': entry.kernel.view.is_leaving(endpoint.name),
+        'pressure': round(endpoint.pressure, 3),
+        'in_flight_here': endpoint.in_flight,
         'reported_seconds_ago': age,
         'stale': age is None or age > MAX_REPORT_AGE.total_seconds(),
-        'group': known.host.group,
-        'rank': known.host.rank,
-        'map_version': known.map_version,
-        'map_in_use': known.map_in_use,
+        'group': endpoint.host.group,
+        'rank': endpoint.host.rank,
+        'map_version': endpoint.map_version,
+        'map_in_use': endpoint.map_in_use,
     }
 
 
 def explain(
     entry: Entry, body: dict[str, typing.Any]
 ) -> dict[str, typing.Any]:
-    """Return, rule by rule, where a request would go and why."""
+    """Return which rule matches a request and which endpoints may get it.
+
+    ``body`` has the request's organisation, service and operation.
+    """
     organisation = str(body.get('organisation', ''))
     service = str(body.get('service', ''))
     operation = str(body.get('operation', ''))
     fleet = entry.kernel.fleet
     if fleet is None:
         return {'error': 'this entry has no configuration yet'}
-    steps = []
+    rules = []
     matched = None
     for number, rule in enumerate(fleet.rules):
         matches = rule.matches(organisation, service, operation)
-        steps.append(
+        rules.append(
             {
                 'rule': number,
                 'organisation': rule.organisation,
@@ -107,39 +112,39 @@
     now = entry.clock.now()
     routable = {c.name for c in entry.kernel.view.routable(service, now)}
     return {
-        'rules': steps,
+        'rules': rules,
         'priority': matched.priority.value if matched else None,
         'policies': _policies(entry, service),
         'endpoints': [
-            _candidate(entry, known, known.name in routable)
-            for known in entry.kernel.view.endpoints()
-            if known.host.service == service
+            _endpoint_routing(entry, endpoint, endpoint.name in routable)
+            for endpoint in entry.kernel.view.endpoints()
+            if endpoint.host.service == service
         ],
     }
 
 
 def _policies(entry: Entry, service: str) -> dict[str, str]:
     fleet = entry.kernel.fleet
-    found = fleet.service(service) if fleet else None
-    return found.policies.model_dump() if found else {}
+    service_config = fleet.service(service) if fleet else None
+    return service_config.policies.model_dump() if service_config else {}
 
 
-def _candidate(
-    entry: Entry, known: endpoint_module.Endpoint, routable: bool
+def _endpoint_routing(
+    entry: Entry, endpoint: endpoint_module.Endpoint, routable: bool
 ) -> dict[str, typing.Any]:
     if routable:
-        reason = 'takes work'
-    elif entry.kernel.view.is_leaving(known.name):
+        reason = 'accepts requests'
+    elif entry.kernel.view.is_leaving(endpoint.name):
         reason = 'leaving'
-    elif known.last_report_at is None:
-        reason = 'never reported to this entry'
+    elif endpoint.last_report_at is None:
+        reason = 'this entry has received no report'
     else:
-        reason = 'silent or ejected'
+        reason = 'unresponsive or ejected'
     return {
-        'name': known.name,
-        'availability_zone': known.zone,
-        'own_zone': known.zone == entry.cfg.availability_zone,
-        'pressure': round(known.pressure, 3),
+        'name': endpoint.name,
+        'availability_zone': endpoint.zone,
+        'own_zone': endpoint.zone == entry.cfg.availability_zone,
+        'pressure': round(endpoint.pressure, 3),
         'routable': routable,
         'reason': reason,
     }
--- a/src/aspenfold/_internal/processes/tasks.py
+++ b/src/aspenfold/_internal/processes/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a process; what they raise is logged."""
+"""Background tasks of a process."""
 
 import asyncio
 from collections import abc
@@ -11,24 +11,24 @@
 
 
 class BackgroundTasks:
-    """Keeps running tasks alive and logs the errors of failed ones."""
+    """Keeps references to running tasks and logs their exceptions."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def spawn(self, work: Work) -> asyncio.Task[typing.Any]:
-        """Run ``work`` in the background."""
+        """Start a task that runs ``work``."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_done)
         return task
 
     def cancel(self) -> None:
-        """Cancel all that still run."""
+        """Cancel all running tasks."""
         for task in list(self._tasks):
             task.cancel()
 
-    def _done(self, task: asyncio.Task[typing.Any]) -> None:
+    def _on_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
