--- a/bench/model.py
+++ b/bench/model.py
@@ -68,25 +68,27 @@
         )
         self._queue: list[tuple[int, int, frames.AttemptRequest]] = []
         self._order = itertools.count()
-        self._legs: dict[int, abc.Callable[[frames.Frame], None]] = {}
+        self._streams: dict[int, abc.Callable[[frames.Frame], None]] = {}
 
     def execute(
         self,
-        leg: int,
+        stream_id: int,
         request: frames.AttemptRequest,
         answer: abc.Callable[[frames.Frame], None],
     ) -> None:
         """Take an attempt; its frames go to ``answer``."""
-        self._legs[leg] = answer
-        self._apply(self.kernel.execute(leg, request, self.model.sim.now))
+        self._streams[stream_id] = answer
+        self._apply(
+            self.kernel.execute(stream_id, request, self.model.sim.now)
+        )
 
     def _apply(self, result: list[agent_actions.Action]) -> None:
         for action in result:
             match action:
-                case agent_actions.Send(stream_id=leg, frame=frame):
-                    self._legs[leg](frame)
-                case agent_actions.CloseAnswerStream(stream_id=leg):
-                    del self._legs[leg]
+                case agent_actions.Send(stream_id=stream_id, frame=frame):
+                    self._streams[stream_id](frame)
+                case agent_actions.CloseAnswerStream(stream_id=stream_id):
+                    del self._streams[stream_id]
                 case agent_actions.CallEndpoint(request=request):
                     urgency = URGENCY[request.priority]
                     entry = (urgency, next(self._order), request)
@@ -131,7 +133,7 @@
         policies: dict[str, str] | None = None,
         organisations: list[dict[str, typing.Any]] | None = None,
     ) -> None:
-        self.sim = sim_module.Sim(seed=seed)
+        self.sim = sim_module.Simulation(seed=seed)
         self.done: list[Done] = []
         self.attempts = 0
         self._calls = itertools.count()
@@ -190,7 +192,7 @@
             repeatable=True,
             streamed=streamed,
             body=str(work_ms).encode(),
-            deadline=now + deadline_ms * sim_module.MS,
+            deadline=now + deadline_ms * sim_module.MILLISECOND,
             received_at=now,
         )
         self._pending[call.call_id] = call
@@ -244,15 +246,16 @@
                 ),
             )
 
-        leg = self.attempts
+        stream_id = self.attempts
         self.sim.after(
-            NETWORK_MS, lambda: endpoint.execute(leg, action.request, answer)
+            NETWORK_MS,
+            lambda: endpoint.execute(stream_id, action.request, answer),
         )
 
     def _ended(self, call_id: str, failure: exceptions.Failure | None) -> None:
         call = self._pending.pop(call_id)
-        sent = (call.received_at - sim_module.START) / sim_module.MS
-        taken = (self.sim.now - call.received_at) / sim_module.MS
+        sent = (call.received_at - sim_module.START) / sim_module.MILLISECOND
+        taken = (self.sim.now - call.received_at) / sim_module.MILLISECOND
         self.done.append(
             Done(
                 organisation=call.organisation,
--- a/tests/lib/group_world.py
+++ b/tests/lib/simulated_group.py
@@ -70,10 +70,12 @@
         return min(later, default=None)
 
 
-class AgentProcess(sim_module.Node):
+class AgentProcess(sim_module.SimulatedProcess):
     """One incarnation of a rank's agent, with the leader on rank 0."""
 
-    def __init__(self, *, world: 'GroupWorld', rank: int, number: int) -> None:
+    def __init__(
+        self, *, world: 'SimulatedGroup', rank: int, number: int
+    ) -> None:
         super().__init__(sim=world.sim, name=f'rank-{rank}', zone='zone-a')
         self.world = world
         self.rank = rank
@@ -90,7 +92,7 @@
             self.leader = leader_machine.LeaderMachine(
                 group=GROUP, ranks=world.ranks, rng=world.sim.rng
             )
-        self.sim.every(20, lambda: self.do(self._tick))
+        self.sim.every(20, lambda: self.dispatch(self._tick))
 
     def receive(self, message: messages.Message) -> None:
         """Take a message for the rank or for the leader."""
@@ -131,11 +133,11 @@
                 taken = False
             work = self._taken if taken else self._refused
             self.sim.after(
-                self.world.network.delay(),
-                lambda: self.do(lambda: work(action)),
+                self.world.network.draw_delay_ms(),
+                lambda: self.dispatch(lambda: work(action)),
             )
 
-        self.sim.after(self.world.network.delay() + ms, arrive)
+        self.sim.after(self.world.network.draw_delay_ms() + ms, arrive)
 
     def _refused(self, action: group_member.EngineOrder) -> None:
         self.apply(self.machine.on_order_failed(action))
@@ -154,13 +156,13 @@
         self.apply(result)
 
 
-class GroupWorld:
+class SimulatedGroup:
     """A group, its network, and the history of its steps."""
 
     def __init__(
         self, *, seed: int, ranks: int = 3, checks_fencing: bool = True
     ) -> None:
-        self.sim = sim_module.Sim(seed=seed)
+        self.sim = sim_module.Simulation(seed=seed)
         self.network = sim_module.Network(sim=self.sim)
         self.ranks = ranks
         self.checks_fencing = checks_fencing
@@ -214,11 +216,11 @@
         granting = message.kind is messages.Kind.GRANT
         if granting and message.target in self.deaf:
             return
-        for _ in range(self.network.copies()):
+        for _ in range(self.network.draw_copies()):
             target = self.agents[message.target]
             self.sim.after(
-                self.network.delay(),
-                lambda target=target: target.do(
+                self.network.draw_delay_ms(),
+                lambda target=target: target.dispatch(
                     lambda: target.receive(message)
                 ),
             )
@@ -257,7 +259,7 @@
             self.steps_done += 1
 
 
-def one_map_each_step(world: GroupWorld) -> list[str]:
+def one_map_each_step(world: SimulatedGroup) -> list[str]:
     """P1: over all ranks, a step is entered with one map version."""
     versions: dict[tuple[int, int], set[int]] = {}
     for entry in world.entered:
@@ -270,16 +272,16 @@
     ]
 
 
-class GroupChaos:
+class GroupChaosRun:
     """Random faults on a group; one seed is one run."""
 
     def __init__(self, *, seed: int, checks_fencing: bool = True) -> None:
-        self.world = GroupWorld(seed=seed, checks_fencing=checks_fencing)
+        self.world = SimulatedGroup(seed=seed, checks_fencing=checks_fencing)
         self.sim = self.world.sim
         self.rng = self.sim.rng
         self.faults_done = 0
 
-    def run(self) -> GroupWorld:
+    def run(self) -> SimulatedGroup:
         """Run to the end and return the world with its history."""
         world = self.world
         for number in range(self.rng.randint(1, 5)):
@@ -319,8 +321,10 @@
                 self.sim.after(self.rng.uniform(50, 2500), agent.thaw)
             case 4:
                 world.network.jitter_ms = self.rng.choice((2.0, 50.0, 300.0))
-                world.network.lost = self.rng.choice((0.0, 0.3))
-                world.network.doubled = self.rng.choice((0.0, 0.4))
+                world.network.loss_probability = self.rng.choice((0.0, 0.3))
+                world.network.duplicate_probability = self.rng.choice(
+                    (0.0, 0.4)
+                )
             case 5:
                 world.stalled.add(rank)
                 self.sim.after(
@@ -350,8 +354,8 @@
         world.cut.clear()
         world.lost_order_answers = 0.0
         world.network.jitter_ms = 2.0
-        world.network.lost = 0.0
-        world.network.doubled = 0.0
+        world.network.loss_probability = 0.0
+        world.network.duplicate_probability = 0.0
         world.stalled.clear()
         for agent in world.agents:
             if agent.frozen:
--- a/tests/lib/steps.py
+++ b/tests/lib/steps.py
@@ -8,8 +8,8 @@
 from aspenfold_standins import sim as sim_module
 import pytest_bdd
 from pytest_bdd import parsers
-from tests.lib import history
-from tests.lib import world as world_module
+from tests.lib import history_checks
+from tests.lib import simulated_cluster
 
 given = pytest_bdd.given
 when = pytest_bdd.when
@@ -21,14 +21,14 @@
 class Scene:
     """A scenario's world, its requests by name, and its tickets."""
 
-    world: world_module.World
-    requests: dict[str, world_module.Submission] = dataclasses.field(
+    world: simulated_cluster.SimulatedCluster
+    requests: dict[str, simulated_cluster.Submission] = dataclasses.field(
         default_factory=dict
     )
     marks: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def node(scene: Scene, name: str) -> sim_module.Node:
+def node(scene: Scene, name: str) -> sim_module.SimulatedProcess:
     """Return an entry, an endpoint, or the agent of an endpoint."""
     if name.startswith('agent of '):
         return scene.world.agents[name.removeprefix('agent of ')]
@@ -42,7 +42,9 @@
     target_fixture='scene',
 )
 def _world(entries: int, endpoints: int) -> Scene:
-    world = world_module.World(seed=1, entries=entries, endpoints=endpoints)
+    world = simulated_cluster.SimulatedCluster(
+        seed=1, entries=entries, endpoints=endpoints
+    )
     return Scene(world=world)
 
 
@@ -112,7 +114,7 @@
 def _heal(scene: Scene) -> None:
     scene.world.network.heal()
     scene.world.network.jitter_ms = 2.0
-    scene.world.network.doubled = 0.0
+    scene.world.network.duplicate_probability = 0.0
 
 
 @when('the platform goes down')
@@ -153,7 +155,7 @@
 
 @when('every message arrives twice')
 def _twice(scene: Scene) -> None:
-    scene.world.network.doubled = 1.0
+    scene.world.network.duplicate_probability = 1.0
 
 
 @when('every open leg breaks')
@@ -181,7 +183,7 @@
 @when(parse('entry-{number:d} is started in {zone}'))
 def _start_entry(scene: Scene, number: int, zone: str) -> None:
     name = f'entry-{number}'
-    scene.world.entries[name] = world_module.EntryNode(
+    scene.world.entries[name] = simulated_cluster.EntryNode(
         world=scene.world, name=name, zone=zone
     )
 
@@ -240,7 +242,9 @@
 
 @then(parse('nothing started at {name} later than {ms:d} ms after it left'))
 def _no_start(scene: Scene, name: str, ms: int) -> None:
-    limit = sim_module.START + (scene.marks[name] + ms) * sim_module.MS
+    limit = (
+        sim_module.START + (scene.marks[name] + ms) * sim_module.MILLISECOND
+    )
     late = [
         run
         for run in scene.world.executions
@@ -257,4 +261,4 @@
 @then('the history is sound')
 def _sound(scene: Scene) -> None:
     scene.world.sim.run(10_000)
-    assert history.check(scene.world) == []
+    assert history_checks.check(scene.world) == []
