--- a/tests/lib/deployment_client.py
+++ b/tests/lib/deployment_client.py
@@ -53,13 +53,13 @@
         **headers: str,
     ) -> Response:
         """Send one request and return its answer."""
-        name = self.deployment.entries()[entry]
-        url = self.deployment.children[name].url + path
+        name = self.deployment.entry_names()[entry]
+        url = self.deployment.processes[name].url + path
         sent_headers = {**HEADERS, **headers}
         if key:
             sent_headers['Idempotency-Key'] = key
         try:
-            response = self.deployment.call('POST', url, body, sent_headers)
+            response = self.deployment.request('POST', url, body, sent_headers)
         except urllib3.exceptions.HTTPError:
             return Response(status=0, outcome='', body=b'', headers={})
         response_headers = {k.lower(): v for k, v in response.headers.items()}
@@ -104,8 +104,8 @@
         """Return all executions of an operation by plain workers."""
         return [
             run
-            for name in self.deployment.children
+            for name in self.deployment.processes
             if name.startswith('plain-')
-            for run in self.deployment.record(name)['runs']
+            for run in self.deployment.fetch_record(name)['runs']
             if run['operation'] == operation
         ]
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -74,7 +74,7 @@
         return min(later, default=None)
 
 
-class AgentProcess(sim_module.Node):
+class AgentProcess(sim_module.SimulatedProcess):
     """One incarnation of a rank's agent; rank 0 also runs the leader."""
 
     def __init__(
@@ -96,7 +96,7 @@
             self.leader = leader_machine.LeaderMachine(
                 group=GROUP, ranks=group.ranks, rng=group.sim.rng
             )
-        self.sim.every(20, lambda: self.do(self._tick))
+        self.sim.every(20, lambda: self.dispatch(self._tick))
 
     def receive(self, message: messages.Message) -> None:
         """Handle a message for the rank or for the leader."""
@@ -137,11 +137,11 @@
                 accepted = False
             work = self._on_accepted if accepted else self._on_failed
             self.sim.after(
-                self.group.network.delay(),
-                lambda: self.do(lambda: work(action)),
+                self.group.network.draw_delay_ms(),
+                lambda: self.dispatch(lambda: work(action)),
             )
 
-        self.sim.after(self.group.network.delay() + ms, arrive)
+        self.sim.after(self.group.network.draw_delay_ms() + ms, arrive)
 
     def _on_failed(self, action: group_member.EngineOrder) -> None:
         self.apply(self.machine.on_order_failed(action))
@@ -171,7 +171,7 @@
     def __init__(
         self, *, seed: int, ranks: int = 3, checks_fencing: bool = True
     ) -> None:
-        self.sim = sim_module.Sim(seed=seed)
+        self.sim = sim_module.Simulation(seed=seed)
         self.network = sim_module.Network(sim=self.sim)
         self.ranks = ranks
         self.checks_fencing = checks_fencing
@@ -223,11 +223,11 @@
         is_grant = message.kind is messages.Kind.GRANT
         if is_grant and message.target in self.grants_blocked:
             return
-        for _ in range(self.network.copies()):
+        for _ in range(self.network.draw_copies()):
             target = self.agents[message.target]
             self.sim.after(
-                self.network.delay(),
-                lambda target=target: target.do(
+                self.network.draw_delay_ms(),
+                lambda target=target: target.dispatch(
                     lambda: target.receive(message)
                 ),
             )
@@ -333,8 +333,10 @@
                 self.sim.after(self.rng.uniform(50, 2500), agent.thaw)
             case 4:
                 group.network.jitter_ms = self.rng.choice((2.0, 50.0, 300.0))
-                group.network.lost = self.rng.choice((0.0, 0.3))
-                group.network.doubled = self.rng.choice((0.0, 0.4))
+                group.network.loss_probability = self.rng.choice((0.0, 0.3))
+                group.network.duplicate_probability = self.rng.choice(
+                    (0.0, 0.4)
+                )
             case 5:
                 group.stalled.add(rank)
                 self.sim.after(
@@ -364,8 +366,8 @@
         group.partitioned.clear()
         group.order_answer_loss_rate = 0.0
         group.network.jitter_ms = 2.0
-        group.network.lost = 0.0
-        group.network.doubled = 0.0
+        group.network.loss_probability = 0.0
+        group.network.duplicate_probability = 0.0
         group.stalled.clear()
         for agent in group.agents:
             if agent.frozen:
