--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Profiles: CI runs a fixed set, ``make explore`` many more."""
+"""Hypothesis profiles: fixed examples in CI, more in ``make explore``."""
 
 import os
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def seeds() -> range:
-    """Seeds of the random runs: few in CI, many when exploring."""
+    """Return the seeds of random runs: 40 in CI, 1000 when exploring."""
     if EXPLORING:
         first = int(os.environ.get('ASPENFOLD_FIRST_SEED', '10000'))
         return range(first, first + 1000)
--- a/tests/functional/conftest.py
+++ b/tests/functional/conftest.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes, shared by a module's tests."""
+"""A small deployment of real processes."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def small_fleet() -> dict[str, typing.Any]:
-    """Return a fleet with one group of two ranks and two tills."""
+    """Return a fleet with a group of two ranks and two plain workers."""
     document = fleets.document()
     document['services'][0]['workers'] = {'zone-a': 1, 'zone-b': 1}
     document['services'][1]['workers'] = {'zone-a': 2}
@@ -31,7 +31,7 @@
 def deployment(
     tmp_path: pathlib.Path,
 ) -> typing.Iterator[launcher.Deployment]:
-    """Start the small fleet with three entries and apply it."""
+    """Start a deployment and apply the small fleet to it."""
     path = tmp_path / 'fleet.json'
     path.write_text(json.dumps(small_fleet()), encoding='utf-8')
     running = launcher.Deployment(fleet_file=path, directory=tmp_path)
--- a/tests/lib/__init__.py
+++ b/tests/lib/__init__.py
@@ -1,1 +1,1 @@
-"""Shared helpers of the tests."""
+"""Simulations, clients and fakes that tests share."""
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -1,4 +1,4 @@
-"""Random concurrent runs under faults; one seed is one run."""
+"""Random calls to a simulated cluster, under random faults."""
 
 from collections import abc
 
@@ -9,250 +9,270 @@
 from tests.lib import operators
 from tests.lib import simulated_cluster
 
-FAULT_MS = 6000
-"""How long calls and faults come."""
+FAULT_PERIOD_MS = 6000
+"""How long callers submit calls and faults begin."""
 
-SETTLE_MS = 14000
-"""How long everything has to settle after all faults have ended."""
+RECOVERY_PERIOD_MS = 14000
+"""Time after the end of all faults for calls to end."""
 
-PATIENCE_MS = (80, 1500)
-"""How long a caller waits before it submits a key again."""
+RESUBMIT_DELAY_RANGE_MS = (80, 1500)
+"""Range of the time before a caller submits a key again."""
 
 MAX_SUBMISSIONS = 4
 Fault = abc.Callable[['ChaosRun'], None]
 
 
 class ChaosRun:
-    """Drives one world by random calls and faults."""
+    """Runs a cluster with random calls and faults.
+
+    The seed determines the run.
+    """
 
     def __init__(self, *, seed: int, faults: bool = True) -> None:
-        self.world = simulated_cluster.SimulatedCluster(
+        self.cluster = simulated_cluster.SimulatedCluster(
             seed=seed, entries=3, endpoints=3
         )
-        self.sim = self.world.sim
+        self.sim = self.cluster.sim
         self.rng = self.sim.rng
         self.with_faults = faults
-        self.faults_done = 0
-        self._jobs = 0
+        self.fault_count = 0
+        self._last_id = 0
 
     def run(self) -> simulated_cluster.SimulatedCluster:
-        """Run to the end and return the world with its history."""
+        """Run with calls and faults, then without, and return the cluster."""
         for _ in range(self.rng.randint(10, 30)):
-            self.sim.after(self.rng.random() * FAULT_MS, self._call)
+            self.sim.after(
+                self.rng.random() * FAULT_PERIOD_MS, self._submit_random_call
+            )
         if self.with_faults:
             for _ in range(self.rng.randint(4, 14)):
-                self.sim.after(self.rng.random() * FAULT_MS, self._fault)
-        self.sim.run(FAULT_MS)
-        self._heal()
-        self.sim.run(SETTLE_MS)
-        return self.world
-
-    # -- callers ---------------------------------------------------------
-
-    def _call(self) -> None:
-        kind = self.rng.choice(('ping', 'job', 'job', 'job', 'completions'))
-        self._jobs += 1
-        body = b'body-%d' % self._jobs + b'x' * self.rng.randrange(6)
+                self.sim.after(
+                    self.rng.random() * FAULT_PERIOD_MS, self._inject_fault
+                )
+        self.sim.run(FAULT_PERIOD_MS)
+        self._end_faults()
+        self.sim.run(RECOVERY_PERIOD_MS)
+        return self.cluster
+
+    def _submit_random_call(self) -> None:
+        operation = self.rng.choice(
+            ('ping', 'job', 'job', 'job', 'completions')
+        )
+        self._last_id += 1
+        body = b'body-%d' % self._last_id + b'x' * self.rng.randrange(6)
         key = ''
-        if kind == 'job':
-            key = f'key-{self._jobs}'
+        if operation == 'job':
+            key = f'key-{self._last_id}'
             if self.rng.random() < 0.3 and self._alive_agents('till'):
-                key = self.world.ticket('till')
+                key = self.cluster.mint_ticket('till')
         elif self.rng.random() < 0.2:
-            key = f'key-{self._jobs}'
-        self._submit(kind, key, body, MAX_SUBMISSIONS)
+            key = f'key-{self._last_id}'
+        self._submit(operation, key, body, MAX_SUBMISSIONS)
 
-    def _submit(self, kind: str, key: str, body: bytes, left: int) -> None:
-        entries = [e for e in self.world.entries.values() if e.alive]
+    def _submit(
+        self, operation: str, key: str, body: bytes, submissions_left: int
+    ) -> None:
+        entries = [e for e in self.cluster.entries.values() if e.alive]
         if not entries:
             return
         entry = self.rng.choice(entries)
-        submission = self.world.submit(
-            kind,
+        submission = self.cluster.submit(
+            operation,
             entry.name,
             key=key,
             body=body,
             deadline_ms=self.rng.choice((300, 1500, 6000)),
         )
-        if not key or left <= 1:
+        if not key or submissions_left <= 1:
             return
 
-        def again() -> None:
-            answered = submission.answers > 0
-            if submission.whole:
+        def resubmit() -> None:
+            answered = submission.answer_count > 0
+            if submission.complete:
                 return
             if answered and self.rng.random() < 0.3:
                 return
-            self._submit(kind, key, body, left - 1)
+            self._submit(operation, key, body, submissions_left - 1)
 
-        self.sim.after(self.rng.uniform(*PATIENCE_MS), again)
+        self.sim.after(self.rng.uniform(*RESUBMIT_DELAY_RANGE_MS), resubmit)
 
-    # -- faults ----------------------------------------------------------
-
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         fault = self.rng.choice(FAULTS)
-        self.faults_done += 1
+        self.fault_count += 1
         fault(self)
 
-    def _alive_agents(self, service: str) -> list[simulated_cluster.AgentNode]:
+    def _alive_agents(
+        self, service: str
+    ) -> list[simulated_cluster.SimulatedAgent]:
         return [
             agent
-            for name, agent in sorted(self.world.agents.items())
+            for name, agent in sorted(self.cluster.agents.items())
             if agent.alive and name.startswith(service)
         ]
 
-    def _some_agent(self) -> simulated_cluster.AgentNode | None:
+    def _random_agent(self) -> simulated_cluster.SimulatedAgent | None:
         agents = self._alive_agents('')
         return self.rng.choice(agents) if agents else None
 
     def kill_agent(self) -> None:
-        """Kill an agent; it may come back without its memory."""
-        agent = self._some_agent()
+        """Kill an agent; a new incarnation may start later."""
+        agent = self._random_agent()
         if agent is None:
             return
-        self.world.kill_agent(agent.name)
+        self.cluster.kill_agent(agent.name)
         if self.rng.random() < 0.8:
             self.sim.after(
                 self.rng.uniform(10, 2000),
-                lambda: self.world.start_agent(agent.name),
+                lambda: self.cluster.start_agent(agent.name),
             )
 
-    def freeze_node(self) -> None:
+    def freeze_process(self) -> None:
         """Freeze an agent or an entry for a while."""
-        nodes: list[sim_module.SimulatedProcess] = [
+        processes: list[sim_module.SimulatedProcess] = [
             *self._alive_agents(''),
-            *[e for e in self.world.entries.values() if e.alive],
+            *[e for e in self.cluster.entries.values() if e.alive],
         ]
-        node = self.rng.choice(nodes)
-        node.freeze()
-        self.sim.after(self.rng.uniform(50, 4000), node.thaw)
+        process = self.rng.choice(processes)
+        process.freeze()
+        self.sim.after(self.rng.uniform(50, 4000), process.thaw)
 
     def kill_entry(self) -> None:
-        """Kill an entry, but leave one."""
-        alive = [e for e in self.world.entries.values() if e.alive]
+        """Kill an entry, but not the last one."""
+        alive = [e for e in self.cluster.entries.values() if e.alive]
         if len(alive) > 1:
-            self.world.kill_entry(self.rng.choice(alive).name)
+            self.cluster.kill_entry(self.rng.choice(alive).name)
 
-    def cut_zones(self) -> None:
-        """Separate two zones, or a zone and the platform."""
+    def partition_zones(self) -> None:
+        """Disconnect two zones, or a zone and the platform, for a while."""
         zones = ['zone-a', 'zone-b', 'zone-c', 'platform']
-        one, two = self.rng.sample(zones, 2)
-        self.world.cut(one, two)
-        self.sim.after(self.rng.uniform(100, 3000), self.world.network.heal)
+        zone_a, zone_b = self.rng.sample(zones, 2)
+        self.cluster.partition(zone_a, zone_b)
+        self.sim.after(self.rng.uniform(100, 3000), self.cluster.network.heal)
 
-    def platform_down(self) -> None:
-        """Take the log service away for a while."""
-        self.world.log.down = True
+    def stop_platform(self) -> None:
+        """Make the log service unavailable for a while."""
+        self.cluster.log.down = True
 
-        def back() -> None:
-            self.world.log.down = False
+        def restart() -> None:
+            self.cluster.log.down = False
 
-        self.sim.after(self.rng.uniform(100, 3000), back)
+        self.sim.after(self.rng.uniform(100, 3000), restart)
 
-    def platform_slow(self) -> None:
+    def slow_platform(self) -> None:
         """Make appends slow, and lose some of their answers."""
-        self.world.append_ms = self.rng.choice((4.0, 100.0, 900.0))
-        self.world.lost_append_answers = self.rng.choice((0.0, 0.5))
+        self.cluster.append_duration_ms = self.rng.choice((4.0, 100.0, 900.0))
+        self.cluster.append_answer_loss_probability = self.rng.choice(
+            (0.0, 0.5)
+        )
 
-    def break_legs(self) -> None:
-        """Break every open leg."""
-        self.world.break_legs()
+    def break_streams(self) -> None:
+        """Break every open answer stream."""
+        self.cluster.break_streams()
 
-    def bad_network(self) -> None:
-        """Make messages late, out of order, lost or doubled."""
-        self.world.network.jitter_ms = self.rng.choice((2.0, 60.0, 400.0))
-        self.world.network.duplicate_probability = self.rng.choice((0.0, 0.4))
-        self.world.network.loss_probability = self.rng.choice((0.0, 0.2))
+    def degrade_network(self) -> None:
+        """Delay, reorder, lose or duplicate messages."""
+        self.cluster.network.jitter_ms = self.rng.choice((2.0, 60.0, 400.0))
+        self.cluster.network.duplicate_probability = self.rng.choice(
+            (0.0, 0.4)
+        )
+        self.cluster.network.loss_probability = self.rng.choice((0.0, 0.2))
 
     def lose_answers(self) -> None:
-        """Have an endpoint run calls whose answers are lost."""
-        names = sorted(self.world.endpoints)
-        endpoint = self.world.endpoints[self.rng.choice(names)]
-        endpoint.lose_answers += self.rng.randint(1, 2)
-
-    def drain(self) -> None:
-        """Drain an endpoint by the log, and perhaps take it back."""
-        name = self.rng.choice(sorted(self.world.endpoints))
-        self.world.member(name, 'draining')
+        """Lose the answers of an endpoint's next executions."""
+        names = sorted(self.cluster.endpoints)
+        endpoint = self.cluster.endpoints[self.rng.choice(names)]
+        endpoint.answers_to_lose += self.rng.randint(1, 2)
+
+    def drain_endpoint(self) -> None:
+        """Drain an endpoint through the log; it may become live again."""
+        name = self.rng.choice(sorted(self.cluster.endpoints))
+        self.cluster.change_membership(name, 'draining')
         if self.rng.random() < 0.6:
             self.sim.after(
                 self.rng.uniform(100, 2000),
-                lambda: self.world.member(name, 'live'),
+                lambda: self.cluster.change_membership(name, 'live'),
             )
 
-    def leave(self) -> None:
-        """Have a host leave, as the platform tells its agent."""
-        agent = self._some_agent()
+    def terminate_agent(self) -> None:
+        """Send SIGTERM to an agent."""
+        agent = self._random_agent()
         if agent is not None:
-            self.world.terminate_agent(agent.name)
+            self.cluster.terminate_agent(agent.name)
 
-    def race_operators(self) -> None:
-        """Two operators apply on one base, in the midst of calls."""
-        state = next(iter(self.world.entries.values())).kernel.fleet_reader
-        old = state.state.document
+    def apply_conflicting_changes(self) -> None:
+        """Append two changes of the fleet to the same version."""
+        reader = next(iter(self.cluster.entries.values())).kernel.fleet_reader
+        old = reader.state.document
         for name in ('mine', 'yours'):
-            self._jobs += 1
+            self._last_id += 1
             new = operators.with_name(
-                fleets.document(), f'{name}-{self._jobs}'
+                fleets.document(), f'{name}-{self._last_id}'
             )
             change = operators.config_change(
-                name, self._jobs, state.state.version, old, new, self.sim.now
+                name,
+                self._last_id,
+                reader.state.version,
+                old,
+                new,
+                self.sim.now,
             )
-            self.world.log.append(records.FLEET_STREAM, change)
+            self.cluster.log.append(records.FLEET_STREAM, change)
 
-    def lapse_lease(self) -> None:
-        """A lease passes on; its paused holder wakes and writes a plan."""
-        reading = next(iter(self.world.entries.values())).kernel.fleet_reader
+    def write_with_expired_lease(self) -> None:
+        """Append a map plan whose lease has passed to another holder."""
+        reader = next(iter(self.cluster.entries.values())).kernel.fleet_reader
         name = reducer.MAP_LEASE_PREFIX + 'group-0'
-        prior = reading.state.lease_token(name)
+        previous_token = reader.state.lease_token(name)
         for holder in ('entry-0', 'entry-1'):
-            self._jobs += 1
+            self._last_id += 1
             lease = records.LeaseGrant(
-                id=f'lease-{self._jobs}',
+                id=f'lease-{self._last_id}',
                 author=holder,
                 at=self.sim.now,
                 name=name,
                 holder=holder,
                 ttl_ms=100,
-                prior_token=prior,
+                prior_token=previous_token,
+            )
+            previous_token = self.cluster.log.append(
+                records.FLEET_STREAM, lease
             )
-            prior = self.world.log.append(records.FLEET_STREAM, lease)
-        stale = records.MapPlan(
-            id=f'plan-{self._jobs}',
+        stale_plan = records.MapPlan(
+            id=f'plan-{self._last_id}',
             author='entry-0',
             at=self.sim.now,
             group='group-0',
-            lease_token=prior - 1,
+            lease_token=previous_token - 1,
             placement=[[0]],
         )
-        self.world.log.append(records.FLEET_STREAM, stale)
+        self.cluster.log.append(records.FLEET_STREAM, stale_plan)
 
-    def _heal(self) -> None:
-        world = self.world
-        world.network.heal()
-        world.network.jitter_ms = 2.0
-        world.network.duplicate_probability = 0.0
-        world.network.loss_probability = 0.0
-        world.log.down = False
-        world.append_ms = 4.0
-        for node in [*world.agents.values(), *world.entries.values()]:
-            if node.frozen:
-                node.thaw()
+    def _end_faults(self) -> None:
+        cluster = self.cluster
+        cluster.network.heal()
+        cluster.network.jitter_ms = 2.0
+        cluster.network.duplicate_probability = 0.0
+        cluster.network.loss_probability = 0.0
+        cluster.log.down = False
+        cluster.append_duration_ms = 4.0
+        for process in [*cluster.agents.values(), *cluster.entries.values()]:
+            if process.frozen:
+                process.thaw()
 
 
 FAULTS: tuple[Fault, ...] = (
     ChaosRun.kill_agent,
-    ChaosRun.freeze_node,
-    ChaosRun.freeze_node,
+    ChaosRun.freeze_process,
+    ChaosRun.freeze_process,
     ChaosRun.kill_entry,
-    ChaosRun.cut_zones,
-    ChaosRun.platform_down,
-    ChaosRun.platform_slow,
-    ChaosRun.break_legs,
-    ChaosRun.bad_network,
+    ChaosRun.partition_zones,
+    ChaosRun.stop_platform,
+    ChaosRun.slow_platform,
+    ChaosRun.break_streams,
+    ChaosRun.degrade_network,
     ChaosRun.lose_answers,
-    ChaosRun.drain,
-    ChaosRun.leave,
-    ChaosRun.race_operators,
-    ChaosRun.lapse_lease,
+    ChaosRun.drain_endpoint,
+    ChaosRun.terminate_agent,
+    ChaosRun.apply_conflicting_changes,
+    ChaosRun.write_with_expired_lease,
 )
--- a/tests/lib/history_checks.py
+++ b/tests/lib/history_checks.py
@@ -1,4 +1,7 @@
-"""Checks of a finished run's history; each returns what it found wrong."""
+"""Checks of the history of a simulated cluster.
+
+Each check returns a description of each violation.
+"""
 
 import datetime
 
@@ -6,28 +9,30 @@
 from tests.lib import simulated_cluster
 
 
-HAND_OVER = datetime.timedelta(seconds=1)
-"""Time for what an agent accepted before to reach its endpoint."""
+MAX_HANDOVER_DELAY = datetime.timedelta(seconds=1)
+"""How long a request that an agent accepted may take to its endpoint."""
 
 
-def runs_of(
-    world: simulated_cluster.SimulatedCluster,
+def executions_of(
+    cluster: simulated_cluster.SimulatedCluster,
     submission: simulated_cluster.Submission,
 ) -> list[simulated_cluster.Execution]:
-    """Return the executions that this submission caused."""
+    """Return the executions of a submission."""
     return [
-        run
-        for run in world.executions
-        if run.call_id == submission.call.call_id
+        execution
+        for execution in cluster.executions
+        if execution.call_id == submission.call.call_id
     ]
 
 
-def at_most_once(world: simulated_cluster.SimulatedCluster) -> list[str]:
-    """P4: no key of a call that must not be repeated runs twice."""
-    calls = {s.call.call_id: s.call for s in world.submissions}
+def check_at_most_once(
+    cluster: simulated_cluster.SimulatedCluster,
+) -> list[str]:
+    """Check P4: a call that must not be repeated runs once per key."""
+    calls = {s.call.call_id: s.call for s in cluster.submissions}
     counts: dict[str, int] = {}
-    for run in world.executions:
-        call = calls[run.call_id]
+    for execution in cluster.executions:
+        call = calls[execution.call_id]
         if not call.repeatable:
             counts[call.key] = counts.get(call.key, 0) + 1
     return [
@@ -37,14 +42,14 @@
     ]
 
 
-def not_run_is_true(world: simulated_cluster.SimulatedCluster) -> list[str]:
-    """P3: what was answered as not run has no execution, ever.
+def check_not_run(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
+    """Check P3: what is reported as not run never runs.
 
-    A later submission of the same key may run; one that was made before
-    the refused one, or the refused one itself, may not.
+    This holds for the refused submission and for earlier submissions of
+    its key; a later one may run.
     """
-    problems = []
-    for position, refused in enumerate(world.submissions):
+    violations = []
+    for position, refused in enumerate(cluster.submissions):
         failure = refused.failure
         if failure is None:
             continue
@@ -52,63 +57,72 @@
             continue
         if failure.code is exceptions.Code.KEY_REUSED:
             continue
-        for other in world.submissions[: position + 1]:
-            same = other is refused or (
+        for other in cluster.submissions[: position + 1]:
+            is_covered = other is refused or (
                 other.call.key and other.call.key == refused.call.key
             )
-            if same and runs_of(world, other):
-                problems.append(
-                    f'{refused.call.call_id} was told {failure.code.name}'
+            if is_covered and executions_of(cluster, other):
+                violations.append(
+                    f'{refused.call.call_id} ended with {failure.code.name}'
                     f' but {other.call.call_id} ran'
                 )
-    return problems
+    return violations
 
 
-def whole_answers(world: simulated_cluster.SimulatedCluster) -> list[str]:
-    """P2: an answer is right and whole, or ends in a coded error."""
-    problems = []
-    for submission in world.submissions:
+def check_answers(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
+    """Check P2: an answer is correct and complete, or ends in an error."""
+    violations = []
+    for submission in cluster.submissions:
         call = submission.call
-        right = simulated_cluster.expected(call.body, call.streamed)
-        got = submission.items
-        if submission.whole and got != right:
-            problems.append(f'{call.call_id} got {got!r}, not {right!r}')
-        if got != right[: len(got)]:
-            problems.append(f'{call.call_id} got a wrong start {got!r}')
-        if submission.answers > 1:
-            problems.append(f'{call.call_id} was answered twice')
-    return problems
-
-
-def all_answered(world: simulated_cluster.SimulatedCluster) -> list[str]:
-    """Every submission to a living entry has its final answer."""
+        expected = simulated_cluster.expected_items(call.body, call.streamed)
+        received = submission.items
+        if submission.complete and received != expected:
+            violations.append(
+                f'{call.call_id} got {received!r}, not {expected!r}'
+            )
+        if received != expected[: len(received)]:
+            violations.append(f'{call.call_id} got wrong items {received!r}')
+        if submission.answer_count > 1:
+            violations.append(f'{call.call_id} was answered twice')
+    return violations
+
+
+def check_all_answered(
+    cluster: simulated_cluster.SimulatedCluster,
+) -> list[str]:
+    """Check that every submission to a running entry was answered."""
     return [
         f'{s.call.call_id} at {s.entry} has no answer'
-        for s in world.submissions
-        if s.answers == 0
-        and world.entries[s.entry].alive
-        and not world.entries[s.entry].frozen
+        for s in cluster.submissions
+        if s.answer_count == 0
+        and cluster.entries[s.entry].alive
+        and not cluster.entries[s.entry].frozen
     ]
 
 
-def leaving_gets_no_work(
-    world: simulated_cluster.SimulatedCluster,
+def check_no_work_after_sigterm(
+    cluster: simulated_cluster.SimulatedCluster,
 ) -> list[str]:
-    """P5: an agent that was told to leave starts nothing later."""
-    problems = []
-    for run in world.executions:
-        left = world.left_at.get(run.incarnation)
-        if left is not None and run.at > left + HAND_OVER:
-            problems.append(f'{run.call_id} started at {run.endpoint}')
-    return problems
+    """Check P5: an agent starts no executions after it began to drain."""
+    violations = []
+    for execution in cluster.executions:
+        drain_started_at = cluster.drain_started_at.get(execution.incarnation)
+        if (
+            drain_started_at is not None
+            and execution.started_at > drain_started_at + MAX_HANDOVER_DELAY
+        ):
+            violations.append(
+                f'{execution.call_id} started at {execution.endpoint}'
+            )
+    return violations
 
 
-def check(world: simulated_cluster.SimulatedCluster) -> list[str]:
-    """Return everything that the history shows to be wrong."""
+def check_all(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
+    """Run all checks."""
     return (
-        at_most_once(world)
-        + not_run_is_true(world)
-        + whole_answers(world)
-        + all_answered(world)
-        + leaving_gets_no_work(world)
+        check_at_most_once(cluster)
+        + check_not_run(cluster)
+        + check_answers(cluster)
+        + check_all_answered(cluster)
+        + check_no_work_after_sigterm(cluster)
     )
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -1,7 +1,7 @@
-"""Takes one guard away from a kernel, to see its proof fail.
+"""Mutations that each remove one guard from the product's code.
 
-Each mutation changes the true code by monkey patching, in the test
-only; the product has no switch for it.
+``test_guards`` applies them by monkey patching, and expects a check to
+fail.
 """
 
 from collections import abc
@@ -24,13 +24,13 @@
 from aspenfold._internal.kernel import frames
 from aspenfold._internal.membership import view
 
-Patch = pytest.MonkeyPatch
-Mutation = abc.Callable[[Patch], None]
+MonkeyPatch = pytest.MonkeyPatch
+Mutation = abc.Callable[[MonkeyPatch], None]
 
 
-def no_seal(patch: Patch) -> None:
-    """The agent says "sealed" but runs the attempt when it arrives."""
-    right = agent_kernel.AgentKernel.execute
+def run_sealed_attempts(patch: MonkeyPatch) -> None:
+    """Let an agent run an attempt that it has sealed."""
+    original = agent_kernel.AgentKernel.execute
 
     def execute(
         self: typing.Any, stream_id: int, request: typing.Any, now: typing.Any
@@ -40,13 +40,13 @@
         if sealed and request.mode is frames.Mode.RUN:
             del self._attempts[request.attempt_id]
             self._by_deadline.remove(request.attempt_id)
-        return right(self, stream_id, request, now)
+        return original(self, stream_id, request, now)
 
     patch.setattr(agent_kernel.AgentKernel, 'execute', execute)
 
 
-def claim_by_last_writer(patch: Patch) -> None:
-    """Whoever claims last holds the key."""
+def last_claim_wins(patch: MonkeyPatch) -> None:
+    """Give a key to the last claim instead of the first valid one."""
 
     def apply(
         self: typing.Any, claim: typing.Any, offset: int, at: typing.Any
@@ -58,8 +58,8 @@
     patch.setattr(claim_table.ClaimTable, '_apply', apply)
 
 
-def no_claim(patch: Patch) -> None:
-    """Keyed calls go to the key's home endpoint by membership alone."""
+def skip_claims(patch: MonkeyPatch) -> None:
+    """Route keyed calls by rendezvous hashing, without a claim."""
 
     def claim(
         self: typing.Any, now: typing.Any, *, supersedes: str
@@ -67,7 +67,9 @@
         routable = self._context.view.routable(self.call.service, now)
         if not routable:
             return self._fail(self._no_endpoint())
-        home = max(routable, key=lambda e: hash_of(self._scoped_key, e.name))
+        home = max(
+            routable, key=lambda e: rendezvous_score(self._scoped_key, e.name)
+        )
         self._attempt = attempt_module.Attempt(
             attempt_id='k' + self._scoped_key,
             endpoint=home.name,
@@ -81,20 +83,22 @@
     patch.setattr(flow_module.CallFlow, '_claim', claim)
 
 
-def hash_of(key: str, name: str) -> int:
-    """Return a rendezvous score."""
+def rendezvous_score(key: str, name: str) -> int:
+    """Return the rendezvous score of an endpoint for a key."""
     return int(claim_table.scoped_key(key, name), 16)
 
 
-def repeat_anything(patch: Patch) -> None:
-    """A call is made again whether it may be repeated or not."""
+def retry_every_call(patch: MonkeyPatch) -> None:
+    """Retry calls that must not be repeated."""
     patch.setattr(flow_module.CallFlow, '_may_retry', lambda self: True)
 
 
-def ask_nobody(patch: Patch) -> None:
-    """A lost attempt counts as one that never started."""
+def assume_lost_attempts_never_ran(patch: MonkeyPatch) -> None:
+    """Treat a lost attempt as one that never ran, without a query."""
 
-    def lost(self: typing.Any, sent: bool, now: typing.Any) -> typing.Any:
+    def on_stream_lost(
+        self: typing.Any, sent: bool, now: typing.Any
+    ) -> typing.Any:
         self._stream_id = None
         self._attempt.never_executes = True
         self._holds_unexecuted_key = True
@@ -103,35 +107,35 @@
         )
         return self._retry_or_fail(failure, now)
 
-    patch.setattr(flow_module.CallFlow, 'on_stream_lost', lost)
+    patch.setattr(flow_module.CallFlow, 'on_stream_lost', on_stream_lost)
 
 
-def any_not_run(patch: Patch) -> None:
-    """Refusals say "not run" without proof."""
+def report_not_run_without_proof(patch: MonkeyPatch) -> None:
+    """Report refusals as not run without proof."""
     patch.setattr(
         flow_module.CallFlow, '_adjust_code', lambda self, failure: failure
     )
 
 
-def trust_followed(patch: Patch) -> None:
-    """A follower says "not run" of another's sealed attempt."""
-    right = flow_module.CallFlow._on_failed
+def trust_other_attempts(patch: MonkeyPatch) -> None:
+    """Report another entry's sealed attempt as not run."""
+    original = flow_module.CallFlow._on_failed
 
-    def refused(
+    def on_failed(
         self: typing.Any, failure: typing.Any, now: typing.Any
     ) -> typing.Any:
-        own = self._attempt.is_own
+        is_own = self._attempt.is_own
         self._attempt.is_own = True
-        result = right(self, failure, now)
-        if self._attempt is not None and not own:
-            self._attempt.is_own = own
+        result = original(self, failure, now)
+        if self._attempt is not None and not is_own:
+            self._attempt.is_own = is_own
         return result
 
-    patch.setattr(flow_module.CallFlow, '_on_failed', refused)
+    patch.setattr(flow_module.CallFlow, '_on_failed', on_failed)
 
 
-def no_settled_position(patch: Patch) -> None:
-    """A late request may take a key over from a later one."""
+def ignore_settled_position(patch: MonkeyPatch) -> None:
+    """Let a late request take a key over from a later one."""
     patch.setattr(
         claim_table.ClaimTable,
         'settled_position',
@@ -139,9 +143,9 @@
     )
 
 
-def forget_attempts(patch: Patch) -> None:
-    """The agent forgets that it has seen an attempt."""
-    right = agent_kernel.AgentKernel.execute
+def forget_attempts(patch: MonkeyPatch) -> None:
+    """Let an agent run an attempt again."""
+    original = agent_kernel.AgentKernel.execute
 
     def execute(
         self: typing.Any, stream_id: int, request: typing.Any, now: typing.Any
@@ -151,26 +155,26 @@
             request = dataclasses.replace(
                 request, attempt_id=request.attempt_id + '+'
             )
-        return right(self, stream_id, request, now)
+        return original(self, stream_id, request, now)
 
     patch.setattr(agent_kernel.AgentKernel, 'execute', execute)
 
 
-def any_incarnation(patch: Patch) -> None:
-    """A restarted agent takes what its predecessor was sent."""
-    right = agent_kernel.AgentKernel.execute
+def accept_any_incarnation(patch: MonkeyPatch) -> None:
+    """Let a restarted agent run requests to its earlier incarnation."""
+    original = agent_kernel.AgentKernel.execute
 
     def execute(
         self: typing.Any, stream_id: int, request: typing.Any, now: typing.Any
     ) -> typing.Any:
         request = dataclasses.replace(request, incarnation=self.incarnation)
-        return right(self, stream_id, request, now)
+        return original(self, stream_id, request, now)
 
     patch.setattr(agent_kernel.AgentKernel, 'execute', execute)
 
 
-def no_order(patch: Patch) -> None:
-    """Items are delivered as they come."""
+def ignore_item_order(patch: MonkeyPatch) -> None:
+    """Deliver items in the order of arrival."""
 
     def add_items(
         self: typing.Any, attempt_id: str, body: frames.Items
@@ -181,66 +185,70 @@
     patch.setattr(assembler.AnswerAssembler, 'add_items', add_items)
 
 
-def no_end_check(patch: Patch) -> None:
-    """An end mark ends the answer, whatever is missing."""
+def skip_end_check(patch: MonkeyPatch) -> None:
+    """End an answer at its end frame even if items are missing."""
 
-    def check(self: typing.Any) -> None:
+    def check_end(self: typing.Any) -> None:
         if self._end is not None:
             self.status = assembler.AnswerStatus.COMPLETE
 
-    patch.setattr(assembler.AnswerAssembler, '_check_end', check)
+    patch.setattr(assembler.AnswerAssembler, '_check_end', check_end)
 
 
-def resume_from_start(patch: Patch) -> None:
-    """A resumed attempt is numbered as if it began at the gap."""
-    right = flow_module.CallFlow._new_attempt
+def resume_from_start(patch: MonkeyPatch) -> None:
+    """Number the items of a resumed attempt from zero."""
+    original = flow_module.CallFlow._new_attempt
 
-    def choose(self: typing.Any, now: typing.Any) -> typing.Any:
-        attempt = right(self, now)
+    def new_attempt(self: typing.Any, now: typing.Any) -> typing.Any:
+        attempt = original(self, now)
         if attempt is not None:
             attempt.resume_from = 0
             self._assembler.next_item = 0
         return attempt
 
-    patch.setattr(flow_module.CallFlow, '_new_attempt', choose)
+    patch.setattr(flow_module.CallFlow, '_new_attempt', new_attempt)
 
 
-def silent_end(patch: Patch) -> None:
-    """A call that cannot go on ends without an answer."""
-    right = flow_module.CallFlow._fail
+def drop_failures(patch: MonkeyPatch) -> None:
+    """End failed calls without an answer."""
+    original = flow_module.CallFlow._fail
 
     def fail(self: typing.Any, failure: typing.Any) -> typing.Any:
-        result = right(self, failure)
+        result = original(self, failure)
         return [a for a in result if not isinstance(a, actions.Fail)]
 
     patch.setattr(flow_module.CallFlow, '_fail', fail)
 
 
-def begin_at_last(patch: Patch) -> None:
-    """A new leader skips no steps."""
+def skip_no_steps(patch: MonkeyPatch) -> None:
+    """Let a new leader reuse steps that an earlier one granted."""
 
-    def begin(self: typing.Any) -> None:
+    def skip_earlier_grants(self: typing.Any) -> None:
         self.last_granted_step = max(
             m.last_granted_step for m in self._members.values()
         )
 
-    patch.setattr(leader_machine.LeaderMachine, '_skip_earlier_grants', begin)
+    patch.setattr(
+        leader_machine.LeaderMachine,
+        '_skip_earlier_grants',
+        skip_earlier_grants,
+    )
 
 
-def promise_of_some(patch: Patch) -> None:
-    """A leader begins once most ranks have promised."""
+def require_most_promises(patch: MonkeyPatch) -> None:
+    """Let a leader begin when all ranks but one have promised."""
 
-    def complete(self: typing.Any) -> bool:
+    def all_promised(self: typing.Any) -> bool:
         return len(self._members) >= self.ranks - 1
 
     patch.setattr(
-        leader_machine.LeaderMachine, '_all_promised', property(complete)
+        leader_machine.LeaderMachine, '_all_promised', property(all_promised)
     )
 
 
-def no_ballot_check(patch: Patch) -> None:
-    """A rank heeds any leader, and its engine is not reset."""
-    right = rank_machine.RankMachine.receive
+def skip_ballot_check(patch: MonkeyPatch) -> None:
+    """Let a rank obey any leader, and never reset its engine."""
+    original = rank_machine.RankMachine.receive
 
     def receive(self: typing.Any, message: messages.Message) -> typing.Any:
         if message.kind is not messages.Kind.RECRUIT:
@@ -249,15 +257,15 @@
                 ballot=self.promised_ballot,
                 incarnation=self.incarnation,
             )
-        return right(self, message)
+        return original(self, message)
 
     patch.setattr(rank_machine.RankMachine, 'receive', receive)
     patch.setattr(rank_machine.RankMachine, '_has_lost_sync', lambda *_: False)
 
 
-def grant_at_once(patch: Patch) -> None:
-    """Each rank is granted the newest map that it has prepared."""
-    right = leader_machine.LeaderMachine._send
+def grant_newest_prepared(patch: MonkeyPatch) -> None:
+    """Grant each rank the newest map that it has prepared itself."""
+    original = leader_machine.LeaderMachine._send
 
     def send(
         self: typing.Any, kind: typing.Any, rank: int, **fields: typing.Any
@@ -268,13 +276,13 @@
                 dataclasses.replace(run, version=newest)
                 for run in fields.get('runs', ())
             )
-        return right(self, kind, rank, **fields)
+        return original(self, kind, rank, **fields)
 
     patch.setattr(leader_machine.LeaderMachine, '_send', send)
 
 
-def ignore_leaving(patch: Patch) -> None:
-    """Neither entries nor agents heed that an endpoint leaves."""
+def ignore_draining(patch: MonkeyPatch) -> None:
+    """Make entries and agents ignore that an endpoint is draining."""
     patch.setattr(view.EndpointView, '_is_leaving', lambda self, known: False)
     patch.setattr(
         agent_kernel.AgentKernel, 'drain_permanently', lambda self: None
@@ -284,7 +292,7 @@
     )
 
 
-def exit_at_once(patch: Patch) -> None:
-    """Processes exit on SIGTERM without finishing their work."""
+def exit_immediately(patch: MonkeyPatch) -> None:
+    """Let processes exit on SIGTERM before their calls are complete."""
     for kernel in (agent_kernel.AgentKernel, entry_kernel.EntryKernel):
         patch.setattr(kernel, 'may_exit', property(lambda self: True))
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -132,8 +132,8 @@
             # An order that was sent arrives even if the agent is now dead
             # or frozen.
             accepted = engine.execute(action)
-            loss_rate = self.group.order_answer_loss_rate
-            if self.sim.rng.random() < loss_rate:
+            loss_probability = self.group.order_answer_loss_probability
+            if self.sim.rng.random() < loss_probability:
                 accepted = False
             work = self._on_accepted if accepted else self._on_failed
             self.sim.after(
@@ -179,7 +179,7 @@
         self.stalled: set[int] = set()
         self.grants_blocked: set[int] = set()
         self.partitioned: set[int] = set()
-        self.order_answer_loss_rate = 0.0
+        self.order_answer_loss_probability = 0.0
         self.formation = 0
         self.step_entries: list[StepEntry] = []
         self.completed_steps = 0
@@ -359,12 +359,14 @@
                 )
             case 8:
                 # Orders are executed, but some of their answers are lost.
-                group.order_answer_loss_rate = self.rng.choice((0.0, 0.4))
+                group.order_answer_loss_probability = self.rng.choice(
+                    (0.0, 0.4)
+                )
 
     def _end_faults(self) -> None:
         group = self.group
         group.partitioned.clear()
-        group.order_answer_loss_rate = 0.0
+        group.order_answer_loss_probability = 0.0
         group.network.jitter_ms = 2.0
         group.network.loss_probability = 0.0
         group.network.duplicate_probability = 0.0
--- a/tests/lib/steps.py
+++ b/tests/lib/steps.py
@@ -1,6 +1,7 @@
-"""Steps of the scenario language; few and general.
+"""Steps of the scenarios in ``tests/unit/features``.
 
-Nodes: ``entry-N``, ``agent of NAME``, ``endpoint NAME``.
+A step names a process as ``entry-N``, ``agent of NAME`` or
+``endpoint NAME``, where NAME is an endpoint.
 """
 
 import dataclasses
@@ -18,247 +19,266 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Scene:
-    """A scenario's world, its requests by name, and its tickets."""
+class ScenarioContext:
+    """State of a scenario.
 
-    world: simulated_cluster.SimulatedCluster
-    requests: dict[str, simulated_cluster.Submission] = dataclasses.field(
+    ``submissions`` is by the names in the scenario, ``drain_started_ms``
+    by endpoint.
+    """
+
+    cluster: simulated_cluster.SimulatedCluster
+    submissions: dict[str, simulated_cluster.Submission] = dataclasses.field(
         default_factory=dict
     )
-    marks: dict[str, int] = dataclasses.field(default_factory=dict)
+    drain_started_ms: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
-def node(scene: Scene, name: str) -> sim_module.SimulatedProcess:
-    """Return an entry, an endpoint, or the agent of an endpoint."""
+def find_process(
+    context: ScenarioContext, name: str
+) -> sim_module.SimulatedProcess:
+    """Return the process that a step names."""
     if name.startswith('agent of '):
-        return scene.world.agents[name.removeprefix('agent of ')]
+        return context.cluster.agents[name.removeprefix('agent of ')]
     if name.startswith('endpoint '):
-        return scene.world.endpoints[name.removeprefix('endpoint ')]
-    return scene.world.entries[name]
+        return context.cluster.endpoints[name.removeprefix('endpoint ')]
+    return context.cluster.entries[name]
 
 
 @given(
-    parse('{entries:d} entries and {endpoints:d} endpoints a service'),
-    target_fixture='scene',
+    parse('{entries:d} entries and {endpoints:d} endpoints per service'),
+    target_fixture='context',
 )
-def _world(entries: int, endpoints: int) -> Scene:
-    world = simulated_cluster.SimulatedCluster(
+def _cluster(entries: int, endpoints: int) -> ScenarioContext:
+    cluster = simulated_cluster.SimulatedCluster(
         seed=1, entries=entries, endpoints=endpoints
     )
-    return Scene(world=world)
+    return ScenarioContext(cluster=cluster)
 
 
-@when(parse('"{name}" asks for {operation} at {entry}'))
-def _ask(scene: Scene, name: str, operation: str, entry: str) -> None:
-    scene.requests[name] = scene.world.submit(operation, entry)
+@when(parse('"{name}" requests {operation} at {entry}'))
+def _submit(
+    context: ScenarioContext, name: str, operation: str, entry: str
+) -> None:
+    context.submissions[name] = context.cluster.submit(operation, entry)
 
 
-@when(parse('"{name}" asks for {operation} with key {key} at {entry}'))
-def _ask_key(
-    scene: Scene, name: str, operation: str, key: str, entry: str
+@when(parse('"{name}" requests {operation} with key {key} at {entry}'))
+def _submit_with_key(
+    context: ScenarioContext, name: str, operation: str, key: str, entry: str
 ) -> None:
     if key == 'ticket':
-        key = scene.world.ticket('till')
+        key = context.cluster.mint_ticket('till')
     if key.startswith('of '):
-        key = scene.requests[key.removeprefix('of ')].call.key
-    scene.requests[name] = scene.world.submit(operation, entry, key=key)
+        key = context.submissions[key.removeprefix('of ')].call.key
+    context.submissions[name] = context.cluster.submit(
+        operation, entry, key=key
+    )
 
 
 @when(parse('{ms:d} ms pass'))
-def _pass(scene: Scene, ms: int) -> None:
-    scene.world.sim.run(ms)
+def _advance(context: ScenarioContext, ms: int) -> None:
+    context.cluster.sim.run(ms)
 
 
 @when(parse('{name} is frozen'))
-def _freeze(scene: Scene, name: str) -> None:
-    node(scene, name).freeze()
+def _freeze(context: ScenarioContext, name: str) -> None:
+    find_process(context, name).freeze()
 
 
 @when(parse('{name} is thawed'))
-def _thaw(scene: Scene, name: str) -> None:
-    node(scene, name).thaw()
+def _thaw(context: ScenarioContext, name: str) -> None:
+    find_process(context, name).thaw()
 
 
 @when(parse('the agent of {name} is killed'))
-def _kill_agent(scene: Scene, name: str) -> None:
-    scene.world.kill_agent(name)
+def _kill_agent(context: ScenarioContext, name: str) -> None:
+    context.cluster.kill_agent(name)
 
 
 @when(parse('the agent of {name} is restarted'))
-def _restart_agent(scene: Scene, name: str) -> None:
-    scene.world.start_agent(name)
+def _restart_agent(context: ScenarioContext, name: str) -> None:
+    context.cluster.start_agent(name)
 
 
-@when(parse('the agent of {name} gets SIGTERM'))
-def _terminate_agent(scene: Scene, name: str) -> None:
-    scene.world.terminate_agent(name)
-    scene.marks[name] = scene.world.sim.ms
+@when(parse('the agent of {name} receives SIGTERM'))
+def _terminate_agent(context: ScenarioContext, name: str) -> None:
+    context.cluster.terminate_agent(name)
+    context.drain_started_ms[name] = context.cluster.sim.ms
 
 
 @when(parse('{name} is shutting down'))
-def _drain_entry(scene: Scene, name: str) -> None:
-    scene.world.terminate_entry(name)
+def _drain_entry(context: ScenarioContext, name: str) -> None:
+    context.cluster.terminate_entry(name)
 
 
 @when(parse('entry-{number:d} is killed'))
-def _kill_entry(scene: Scene, number: int) -> None:
-    scene.world.kill_entry(f'entry-{number}')
+def _kill_entry(context: ScenarioContext, number: int) -> None:
+    context.cluster.kill_entry(f'entry-{number}')
 
 
-@when(parse('{one} is cut from {two}'))
-def _cut(scene: Scene, one: str, two: str) -> None:
-    scene.world.cut(one, two)
+@when(parse('{zone_a} is partitioned from {zone_b}'))
+def _partition(context: ScenarioContext, zone_a: str, zone_b: str) -> None:
+    context.cluster.partition(zone_a, zone_b)
 
 
 @when('the network heals')
-def _heal(scene: Scene) -> None:
-    scene.world.network.heal()
-    scene.world.network.jitter_ms = 2.0
-    scene.world.network.duplicate_probability = 0.0
+def _heal(context: ScenarioContext) -> None:
+    context.cluster.network.heal()
+    context.cluster.network.jitter_ms = 2.0
+    context.cluster.network.duplicate_probability = 0.0
 
 
 @when('the platform goes down')
-def _down(scene: Scene) -> None:
-    scene.world.log.down = True
+def _stop_platform(context: ScenarioContext) -> None:
+    context.cluster.log.down = True
 
 
 @when('the platform comes back')
-def _up(scene: Scene) -> None:
-    scene.world.log.down = False
+def _restart_platform(context: ScenarioContext) -> None:
+    context.cluster.log.down = False
 
 
 @when(parse('appends take {ms:d} ms'))
-def _slow(scene: Scene, ms: int) -> None:
-    scene.world.append_ms = float(ms)
+def _slow_appends(context: ScenarioContext, ms: int) -> None:
+    context.cluster.append_duration_ms = float(ms)
 
 
-@when('every append loses its answer')
-def _lose_appends(scene: Scene) -> None:
-    scene.world.lost_append_answers = 1.0
+@when('the answer to every append is lost')
+def _lose_append_answers(context: ScenarioContext) -> None:
+    context.cluster.append_answer_loss_probability = 1.0
 
 
 @when(parse('the next {count:d} answers of endpoint {name} are lost'))
-def _lose_answers(scene: Scene, count: int, name: str) -> None:
-    scene.world.endpoints[name].lose_answers = count
+def _lose_answers(context: ScenarioContext, count: int, name: str) -> None:
+    context.cluster.endpoints[name].answers_to_lose = count
 
 
-@when(parse('all endpoints take {ms:d} ms'))
-def _service_time(scene: Scene, ms: int) -> None:
-    for endpoint in scene.world.endpoints.values():
-        endpoint.service_ms = float(ms)
+@when(parse('endpoints answer after {ms:d} ms'))
+def _service_time(context: ScenarioContext, ms: int) -> None:
+    for endpoint in context.cluster.endpoints.values():
+        endpoint.service_time_ms = float(ms)
 
 
-@when(parse('messages take up to {ms:d} ms'))
-def _late(scene: Scene, ms: int) -> None:
-    scene.world.network.jitter_ms = float(ms)
+@when(parse('messages are delayed by up to {ms:d} ms'))
+def _delay_messages(context: ScenarioContext, ms: int) -> None:
+    context.cluster.network.jitter_ms = float(ms)
 
 
 @when('every message arrives twice')
-def _twice(scene: Scene) -> None:
-    scene.world.network.duplicate_probability = 1.0
+def _duplicate_messages(context: ScenarioContext) -> None:
+    context.cluster.network.duplicate_probability = 1.0
 
 
-@when('every open leg breaks')
-def _break(scene: Scene) -> None:
-    scene.world.break_legs()
+@when('every open answer stream breaks')
+def _break_streams(context: ScenarioContext) -> None:
+    context.cluster.break_streams()
 
 
-@when(parse('{name} is drained by an operator'))
-def _drain(scene: Scene, name: str) -> None:
-    scene.world.member(name, 'draining')
-    scene.marks[name] = scene.world.sim.ms
+@when(parse('an operator drains {name}'))
+def _drain_endpoint(context: ScenarioContext, name: str) -> None:
+    context.cluster.change_membership(name, 'draining')
+    context.drain_started_ms[name] = context.cluster.sim.ms
 
 
 @when(parse('the host of {name} is listed as leaving'))
-def _leaving(scene: Scene, name: str) -> None:
-    scene.world.leaving.add(name)
-    scene.marks[name] = scene.world.sim.ms
+def _list_as_leaving(context: ScenarioContext, name: str) -> None:
+    context.cluster.leaving_hosts.add(name)
+    context.drain_started_ms[name] = context.cluster.sim.ms
 
 
-@when(parse('the claims are trimmed to {keep:d}'))
-def _trim(scene: Scene, keep: int) -> None:
-    scene.world.log.trim('claims-0', keep)
+@when(parse('all but the newest {keep:d} claim batches are trimmed'))
+def _trim_claims(context: ScenarioContext, keep: int) -> None:
+    context.cluster.log.trim('claims-0', keep)
 
 
 @when(parse('entry-{number:d} is started in {zone}'))
-def _start_entry(scene: Scene, number: int, zone: str) -> None:
+def _start_entry(context: ScenarioContext, number: int, zone: str) -> None:
     name = f'entry-{number}'
-    scene.world.entries[name] = simulated_cluster.EntryNode(
-        world=scene.world, name=name, zone=zone
+    context.cluster.entries[name] = simulated_cluster.SimulatedEntry(
+        cluster=context.cluster, name=name, zone=zone
     )
 
 
 @when(parse('{count:d} pings are sent to {entry} over {ms:d} ms'))
-def _pings(scene: Scene, count: int, entry: str, ms: int) -> None:
+def _submit_pings(
+    context: ScenarioContext, count: int, entry: str, ms: int
+) -> None:
     for _ in range(count):
-        scene.world.submit('ping', entry)
-        scene.world.sim.run(ms / count)
+        context.cluster.submit('ping', entry)
+        context.cluster.sim.run(ms / count)
 
 
-@then(parse('"{name}" is answered {outcome}'))
-def _answered(scene: Scene, name: str, outcome: str) -> None:
-    request = scene.requests[name]
-    assert request.outcome == outcome, request.failure
+@then(parse('the result of "{name}" is {result}'))
+def _result(context: ScenarioContext, name: str, result: str) -> None:
+    submission = context.submissions[name]
+    assert submission.result == result, submission.failure
 
 
 @then(parse('"{name}" has no answer yet'))
-def _unanswered(scene: Scene, name: str) -> None:
-    assert scene.requests[name].answers == 0
+def _has_no_answer(context: ScenarioContext, name: str) -> None:
+    assert context.submissions[name].answer_count == 0
 
 
-@then(parse('"{name}" is told {outcome}'))
-def _told(scene: Scene, name: str, outcome: str) -> None:
-    failure = scene.requests[name].failure
+@then(parse('the outcome of "{name}" is {outcome}'))
+def _outcome(context: ScenarioContext, name: str, outcome: str) -> None:
+    failure = context.submissions[name].failure
     assert failure is not None
     assert failure.outcome.value == outcome, failure
 
 
-@then(parse('"{name}" may come back later'))
-def _retry_after(scene: Scene, name: str) -> None:
-    failure = scene.requests[name].failure
+@then(parse('"{name}" may be retried later'))
+def _may_retry(context: ScenarioContext, name: str) -> None:
+    failure = context.submissions[name].failure
     assert failure is not None
     assert failure.retry_after is not None
 
 
 @then(parse('"{name}" ran {count:d} times'))
-def _ran(scene: Scene, name: str, count: int) -> None:
-    key = scene.requests[name].call.key
+def _execution_count(context: ScenarioContext, name: str, count: int) -> None:
+    key = context.submissions[name].call.key
     calls = {
         s.call.call_id
-        for s in scene.world.submissions
-        if s is scene.requests[name] or (key and s.call.key == key)
+        for s in context.cluster.submissions
+        if s is context.submissions[name] or (key and s.call.key == key)
     }
-    runs = [e for e in scene.world.executions if e.call_id in calls]
-    assert len(runs) == count, runs
+    executions = [e for e in context.cluster.executions if e.call_id in calls]
+    assert len(executions) == count, executions
 
 
 @then(parse('"{one}" and "{two}" have the same answer'))
-def _same(scene: Scene, one: str, two: str) -> None:
-    first, second = scene.requests[one], scene.requests[two]
-    assert first.whole
-    assert second.whole
+def _same_answer(context: ScenarioContext, one: str, two: str) -> None:
+    first, second = context.submissions[one], context.submissions[two]
+    assert first.complete
+    assert second.complete
     assert first.items == second.items
 
 
-@then(parse('nothing started at {name} later than {ms:d} ms after it left'))
-def _no_start(scene: Scene, name: str, ms: int) -> None:
+@then(
+    parse(
+        'nothing started at {name} more than {ms:d} ms after its drain began'
+    )
+)
+def _no_start_after(context: ScenarioContext, name: str, ms: int) -> None:
     limit = (
-        sim_module.START + (scene.marks[name] + ms) * sim_module.MILLISECOND
+        sim_module.START
+        + (context.drain_started_ms[name] + ms) * sim_module.MILLISECOND
     )
     late = [
-        run
-        for run in scene.world.executions
-        if run.endpoint == name and run.at > limit
+        execution
+        for execution in context.cluster.executions
+        if execution.endpoint == name and execution.started_at > limit
     ]
     assert late == []
 
 
 @then(parse('something started at {name}'))
-def _some_start(scene: Scene, name: str) -> None:
-    assert any(run.endpoint == name for run in scene.world.executions)
+def _has_started(context: ScenarioContext, name: str) -> None:
+    assert any(
+        execution.endpoint == name for execution in context.cluster.executions
+    )
 
 
-@then('the history is sound')
-def _sound(scene: Scene) -> None:
-    scene.world.sim.run(10_000)
-    assert history_checks.check(scene.world) == []
+@then('all guarantees hold')
+def _guarantees_hold(context: ScenarioContext) -> None:
+    context.cluster.sim.run(10_000)
+    assert history_checks.check_all(context.cluster) == []
--- a/tests/unit/features/not_run.feature
+++ b/tests/unit/features/not_run.feature
@@ -1,78 +1,78 @@
-Feature: What is refused as not run truly does not run (P3)
+Feature: A request that is reported as not run never runs (P3)
 
-  Scenario: A follower of a sealed attempt is not told "not run"
-    Given 2 entries and 1 endpoints a service
-    When messages take up to 0 ms
-    And "one" asks for job with key sale-1 at entry-0
+  Scenario: No entry reports "not run" for an attempt that another sealed
+    Given 2 entries and 1 endpoints per service
+    When messages are delayed by up to 0 ms
+    And "one" requests job with key sale-1 at entry-0
     And 30 ms pass
     And entry-0 is frozen
-    And "two" asks for job with key sale-1 at entry-1
+    And "two" requests job with key sale-1 at entry-1
     And 1500 ms pass
-    Then the history is sound
+    Then all guarantees hold
 
-  Scenario: A request that waited in a frozen entry does not run later
-    Given 3 entries and 1 endpoints a service
-    When "first" asks for job with key sale-2 at entry-2
+  Scenario: A request in a frozen entry does not run after a later refusal
+    Given 3 entries and 1 endpoints per service
+    When "first" requests job with key sale-2 at entry-2
     And 1 ms pass
     And entry-2 is killed
     And entry-0 is frozen
-    And "old" asks for job with key sale-2 at entry-0
+    And "old" requests job with key sale-2 at entry-0
     And 1000 ms pass
     And the agent of till-0 is killed
-    And "new" asks for job with key sale-2 at entry-1
+    And "new" requests job with key sale-2 at entry-1
     And 1500 ms pass
     And the agent of till-0 is restarted
     And entry-0 is thawed
     And 2000 ms pass
-    Then the history is sound
+    Then all guarantees hold
 
-  Scenario: An endpoint's agent cannot be reached at all
-    Given 1 entries and 1 endpoints a service
+  Scenario: The only agent cannot be reached
+    Given 1 entries and 1 endpoints per service
     When the agent of till-0 is killed
-    And "one" asks for ping at entry-0
-    And "two" asks for job with key sale-3 at entry-0
+    And "one" requests ping at entry-0
+    And "two" requests job with key sale-3 at entry-0
     And 3000 ms pass
-    Then "one" is told not-run
+    Then the outcome of "one" is not-run
     And "one" ran 0 times
-    And "two" is told not-run
+    And the outcome of "two" is not-run
     And "two" ran 0 times
-    And the history is sound
+    And all guarantees hold
 
-  Scenario: The leg breaks and the message arrives after it was sealed
-    Given 1 entries and 1 endpoints a service
-    When messages take up to 900 ms
-    And "one" asks for job with key sale-4 at entry-0
+  Scenario: A request arrives after its attempt was sealed
+    Given 1 entries and 1 endpoints per service
+    When messages are delayed by up to 900 ms
+    And "one" requests job with key sale-4 at entry-0
     And 60 ms pass
-    And every open leg breaks
+    And every open answer stream breaks
     And 6000 ms pass
-    Then the history is sound
+    Then all guarantees hold
 
-  Scenario: A draining agent refuses, and another endpoint runs it
-    Given 1 entries and 2 endpoints a service
-    When the agent of till-0 gets SIGTERM
-    And "one" asks for job with key sale-5 at entry-0
+  Scenario: A draining agent refuses a job, and another endpoint runs it
+    Given 1 entries and 2 endpoints per service
+    When the agent of till-0 receives SIGTERM
+    And "one" requests job with key sale-5 at entry-0
     And 1000 ms pass
-    Then "one" is answered whole
+    Then the result of "one" is COMPLETE
     And "one" ran 1 times
-    And the history is sound
+    And all guarantees hold
 
   Scenario: All agents drain
-    Given 1 entries and 2 endpoints a service
-    When the agent of till-0 gets SIGTERM
-    And the agent of till-1 gets SIGTERM
-    And "one" asks for ping at entry-0
+    Given 1 entries and 2 endpoints per service
+    When the agent of till-0 receives SIGTERM
+    And the agent of till-1 receives SIGTERM
+    And "one" requests ping at entry-0
     And 1000 ms pass
-    Then "one" is told not-run
+    Then the outcome of "one" is not-run
     And "one" ran 0 times
-    And the history is sound
+    And all guarantees hold
 
   Scenario: The deadline passes while the agent is frozen
-    Given 1 entries and 1 endpoints a service
+    Given 1 entries and 1 endpoints per service
     When agent of till-0 is frozen
-    And "one" asks for job with key sale-6 at entry-0
+    And "one" requests job with key sale-6 at entry-0
     And 6000 ms pass
-    Then "one" is told unknown
+    Then the outcome of "one" is unknown
     When agent of till-0 is thawed
     And 3000 ms pass
     Then "one" ran 0 times
-    And the history is sound
+    And all guarantees hold
--- a/tests/unit/test_histories.py
+++ b/tests/unit/test_histories.py
@@ -1,4 +1,4 @@
-"""Checks of histories of random runs of the kernels with faults."""
+"""Random runs of clusters and groups satisfy the guarantees."""
 
 import pytest
 from tests.lib import chaos
@@ -11,28 +11,28 @@
 
 @pytest.mark.explores
 def test_calls_satisfy_their_guarantees(seeds: range) -> None:
-    """P2, P3, P4, and a final answer for each call, under all faults."""
+    """P2 to P5 hold under faults, and each call is answered."""
     for seed in [*seeds, *REGRESSION_SEEDS]:
-        assert history_checks.check(chaos.ChaosRun(seed=seed).run()) == [], (
-            seed
-        )
+        assert (
+            history_checks.check_all(chaos.ChaosRun(seed=seed).run()) == []
+        ), seed
 
 
 def test_calls_without_faults_are_all_answered_completely() -> None:
-    """Without faults every call is answered completely, not refused."""
+    """Without faults every call is answered completely."""
     for seed in range(10):
-        world = chaos.ChaosRun(seed=seed, faults=False).run()
-        assert history_checks.check(world) == [], seed
-        outcomes = {s.outcome for s in world.submissions}
-        assert outcomes == {'whole'}, seed
+        cluster = chaos.ChaosRun(seed=seed, faults=False).run()
+        assert history_checks.check_all(cluster) == [], seed
+        results = {s.result for s in cluster.submissions}
+        assert results == {'COMPLETE'}, seed
 
 
 @pytest.mark.explores
 @pytest.mark.parametrize('checks_fencing', [True, False])
-def test_groups_use_one_map_each_step(
+def test_groups_use_one_map_each_step_and_recover(
     seeds: range, checks_fencing: bool
 ) -> None:
-    """P1, and the group continues to step after the faults end."""
+    """P1 holds under faults, and steps continue after they end."""
     regression_seeds = (123, 234, 379, 395, 1452, 21140)
     for seed in [*seeds, *regression_seeds]:
         run = simulated_group.GroupChaosRun(
@@ -43,10 +43,10 @@
 
 
 def test_same_seed_gives_the_same_history() -> None:
-    """A run depends only on its seed."""
+    """The seed determines a run."""
     one = chaos.ChaosRun(seed=7).run()
     two = chaos.ChaosRun(seed=7).run()
     assert one.executions == two.executions
-    assert [s.outcome for s in one.submissions] == [
-        s.outcome for s in two.submissions
+    assert [s.result for s in one.submissions] == [
+        s.result for s in two.submissions
     ]
--- a/tests/unit/test_scenarios.py
+++ b/tests/unit/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The scripted scenarios, on the true kernels with a driven clock."""
+"""The scenarios in ``features``, on the real kernels in virtual time."""
 
 import pytest_bdd
 
--- a/tests/unit/test_switch_histories.py
+++ b/tests/unit/test_switch_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of map switches: no pass begins with two maps."""
+"""Random runs of map switches never mix maps in a pass."""
 
 import dataclasses
 import datetime
@@ -12,31 +12,31 @@
 pytestmark = pytest.mark.explores
 
 FAULTY_DURATION = datetime.timedelta(seconds=60)
-QUIET_DURATION = datetime.timedelta(seconds=30)
+FAULTLESS_DURATION = datetime.timedelta(seconds=30)
 
 
 def run_with_faults(
     seed: int, switch_class: type[map_switch.MapSwitch] = map_switch.MapSwitch
 ) -> simulated_ranks.SimulatedRanks:
-    """Run a simulated group with random faults."""
-    world = simulated_ranks.SimulatedRanks(
+    """Return a simulation after a run with random faults."""
+    simulation = simulated_ranks.SimulatedRanks(
         seed=seed, switch_class=switch_class
     )
-    world.run(FAULTY_DURATION)
-    return world
+    simulation.run(FAULTY_DURATION)
+    return simulation
 
 
 def test_no_pass_begins_with_two_maps(seeds: range) -> None:
-    """Faults must not mix maps in a pass, nor block later switches."""
+    """Faults must neither mix maps in a pass nor block later switches."""
     for seed in seeds:
-        world = run_with_faults(seed)
-        world.faults = simulated_ranks.NO_FAULTS
-        world.run(QUIET_DURATION / 2)
-        passes = world.pass_count
-        switched = world.rank_switch_count
-        world.run(QUIET_DURATION / 2)
-        assert world.pass_count > passes + 50, seed
-        assert world.rank_switch_count > switched, seed
+        simulation = run_with_faults(seed)
+        simulation.faults = simulated_ranks.NO_FAULTS
+        simulation.run(FAULTLESS_DURATION / 2)
+        pass_count = simulation.pass_count
+        switch_count = simulation.rank_switch_count
+        simulation.run(FAULTLESS_DURATION / 2)
+        assert simulation.pass_count > pass_count + 50, seed
+        assert simulation.rank_switch_count > switch_count, seed
 
 
 class WithoutHold(map_switch.MapSwitch):
@@ -106,10 +106,10 @@
         WithoutDisarm,
     ],
 )
-def test_each_guard_is_needed(
+def test_pass_mixes_maps_without_guard(
     switch_class: type[map_switch.MapSwitch],
 ) -> None:
-    """Without the guard some history must begin a pass with two maps."""
+    """Without the guard at least one run must mix maps in a pass."""
     with pytest.raises(simulated_ranks.MixedMapsError):
         for seed in range(300):
             run_with_faults(seed, switch_class)
