--- a/standins/aspenfold_standins/http11.py
+++ b/standins/aspenfold_standins/http11.py
@@ -1,4 +1,4 @@
-"""A plain HTTP/1.1 server for stand-ins that may misbehave at will."""
+"""An HTTP/1.1 server that lets stand-ins send malformed responses."""
 
 import asyncio
 from collections import abc
@@ -10,39 +10,40 @@
 import h11
 
 LINGER_RESET = struct.pack('ii', 1, 0)
+"""Value of SO_LINGER with which a close resets the connection."""
 
 
 @dataclasses.dataclass
 class Request:
-    """A request as it came; header names in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
     arrived_at: float = 0.0
-    """When it was read whole, by the machine's steady clock, in s."""
+    """When the body was complete, in seconds of ``time.monotonic``."""
 
 
 class Exchange:
-    """One request, and the socket on which anything may be written."""
+    """A request and the connection on which to respond."""
 
     def __init__(self, request: Request, writer: asyncio.StreamWriter) -> None:
         self.request = request
         self._writer = writer
 
     async def write(self, data: bytes) -> None:
-        """Write raw bytes."""
+        """Write raw bytes to the connection."""
         self._writer.write(data)
         await self._writer.drain()
 
-    async def answer(
+    async def respond(
         self,
         status: int,
         headers: dict[str, str] | None = None,
         body: bytes = b'',
     ) -> None:
-        """Write a whole, well-formed answer."""
+        """Write a complete, well-formed response."""
         lines = [f'HTTP/1.1 {status} Status']
         lines += [f'{n}: {v}' for n, v in (headers or {}).items()]
         lines += [f'content-length: {len(body)}', '', '']
@@ -51,7 +52,6 @@
     def reset(self) -> None:
         """Reset the connection."""
         sock = self._writer.get_extra_info('socket')
-        # Without lingering a close is a reset, not an orderly end.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self._writer.transport.abort()
 
@@ -61,7 +61,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the other side has closed."""
+        """Whether the connection is closing or closed."""
         return self._writer.is_closing()
 
 
@@ -69,7 +69,7 @@
 
 
 class Server:
-    """Reads whole requests; one handler answers all."""
+    """Reads complete requests and passes each to ``handler``."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -79,7 +79,7 @@
         self.connections = 0
 
     async def start(self, port: int = 0) -> None:
-        """Listen on the loopback address."""
+        """Listen on the loopback address; port 0 picks a free port."""
         self._server = await asyncio.start_server(
             self._serve, '127.0.0.1', port
         )
@@ -99,36 +99,40 @@
         self._writers.add(writer)
         try:
             while not writer.is_closing():
-                request = await _read(reader)
+                request = await _read_request(reader)
                 if request is None:
                     break
-                await self._handle(Exchange(request, writer), reader)
+                await self._run_handler(Exchange(request, writer), reader)
         except (ConnectionError, h11.RemoteProtocolError):
             pass
         except asyncio.CancelledError:
-            # The test is over.
+            # The event loop shuts down at the end of a test.
             pass
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _handle(
+    async def _run_handler(
         self, exchange: Exchange, reader: asyncio.StreamReader
     ) -> None:
-        """Run the handler until it ends or the other side closes."""
-        work = asyncio.ensure_future(self._handler(exchange))
-        gone = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait({work, gone}, return_when='FIRST_COMPLETED')
-        if not work.done():
-            work.cancel()
-            await asyncio.gather(work, gone, return_exceptions=True)
+        """Run the handler until it returns or the client disconnects."""
+        handling = asyncio.ensure_future(self._handler(exchange))
+        disconnected = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait(
+            {handling, disconnected}, return_when='FIRST_COMPLETED'
+        )
+        if not handling.done():
+            handling.cancel()
+            await asyncio.gather(
+                handling, disconnected, return_exceptions=True
+            )
             raise ConnectionResetError
-        gone.cancel()
-        await asyncio.gather(gone, return_exceptions=True)
-        work.result()
+        disconnected.cancel()
+        await asyncio.gather(disconnected, return_exceptions=True)
+        handling.result()
 
 
-async def _read(reader: asyncio.StreamReader) -> Request | None:
+async def _read_request(reader: asyncio.StreamReader) -> Request | None:
     parser = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
     body = b''
--- a/standins/aspenfold_standins/platform_worker.py
+++ b/standins/aspenfold_standins/platform_worker.py
@@ -1,6 +1,7 @@
-"""A stand-in of an endpoint as the users' platform has them.
+"""A stand-in of an endpoint on the platform, with scripted responses.
 
-A test scripts how it answers; it counts what it ran.
+It records the requests that it received and the attempts that it
+executed.
 """
 
 import asyncio
@@ -9,41 +10,46 @@
 
 from aspenfold_standins import http11
 
-SEAL = 'X-Aspenfold-Response-Seal'
-ATTEMPT = 'x-aspenfold-attempt-id'
+SEAL_HEADER = 'X-Aspenfold-Response-Seal'
+ATTEMPT_HEADER = 'x-aspenfold-attempt-id'
 
 Script = abc.Callable[['Worker', http11.Exchange], abc.Awaitable[None]]
 
 
 class Worker:
-    """One incarnation of an endpoint."""
+    """One incarnation of an endpoint.
+
+    ``script`` writes the response to each request.
+    """
 
     def __init__(self, name: str, *, slots: int = 6) -> None:
         self.name = name
         self.slots = slots
-        self.script: Script = whole
-        self.arrivals: list[http11.Request] = []
+        self.script: Script = complete
+        self.requests: list[http11.Request] = []
         self.runs: collections.Counter[str] = collections.Counter()
         self.cancelled = 0
-        self.events = 10
-        self.gap_s = 0.0
+        self.event_count = 10
+        self.event_interval_s = 0.0
         self._server = http11.Server(self._handle)
 
     async def start(self, port: int = 0) -> None:
-        """Listen."""
+        """Listen on the loopback address; port 0 picks a free port."""
         await self._server.start(port)
 
     async def stop(self) -> None:
-        """End: reset all connections."""
+        """Stop listening and reset every connection."""
         await self._server.stop()
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The TCP port of the endpoint."""
         return self._server.port
 
-    def entry(self, service: str, state: str = 'ready') -> dict[str, object]:
-        """Return its entry in the store."""
+    def store_record(
+        self, service: str, state: str = 'ready'
+    ) -> dict[str, object]:
+        """Return the endpoint's record in the platform's store."""
         return {
             'service': service,
             'address': f'127.0.0.1:{self.port}',
@@ -53,20 +59,20 @@
             'sequence': 1,
         }
 
-    def headers(self, exchange: http11.Exchange) -> dict[str, str]:
-        """Return what every answer of a run carries."""
-        attempt = exchange.request.headers.get(ATTEMPT, '')
-        return {SEAL: f'seal-{self.name}', ATTEMPT: attempt}
+    def response_headers(self, exchange: http11.Exchange) -> dict[str, str]:
+        """Return the headers that mark a response of an executed attempt."""
+        attempt = exchange.request.headers.get(ATTEMPT_HEADER, '')
+        return {SEAL_HEADER: f'seal-{self.name}', ATTEMPT_HEADER: attempt}
 
-    def ran(self, exchange: http11.Exchange) -> None:
-        """Count a run."""
-        self.runs[exchange.request.headers.get(ATTEMPT, '')] += 1
+    def record_execution(self, exchange: http11.Exchange) -> None:
+        """Count an execution of the request's attempt."""
+        self.runs[exchange.request.headers.get(ATTEMPT_HEADER, '')] += 1
 
     async def _handle(self, exchange: http11.Exchange) -> None:
-        self.arrivals.append(exchange.request)
+        self.requests.append(exchange.request)
         expected = exchange.request.headers.get('x-aspenfold-expect-instance')
         if expected not in (None, self.name):
-            await exchange.answer(421)
+            await exchange.respond(421)
             return
         try:
             await self.script(self, exchange)
@@ -75,127 +81,129 @@
             raise
 
 
-async def whole(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and answer whole."""
-    worker.ran(exchange)
+async def complete(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then send a complete response."""
+    worker.record_execution(exchange)
     body = b'answer of ' + worker.name.encode()
-    await exchange.answer(200, worker.headers(exchange), body)
+    await exchange.respond(200, worker.response_headers(exchange), body)
 
 
-async def failing(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and answer with a failure."""
-    worker.ran(exchange)
-    await exchange.answer(500, worker.headers(exchange), b'failed')
+async def server_error(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then respond with status 500."""
+    worker.record_execution(exchange)
+    await exchange.respond(500, worker.response_headers(exchange), b'failed')
 
 
-async def full(worker: Worker, exchange: http11.Exchange) -> None:
-    """Refuse without running."""
-    headers = worker.headers(exchange)
-    del headers[SEAL]
+async def at_capacity(worker: Worker, exchange: http11.Exchange) -> None:
+    """Refuse without executing: no free slot."""
+    headers = worker.response_headers(exchange)
+    del headers[SEAL_HEADER]
     headers['X-Aspenfold-Not-Executed'] = '1'
     headers['X-Aspenfold-Instance-Load'] = f'{worker.slots},9,{worker.slots}'
-    await exchange.answer(503, headers)
+    await exchange.respond(503, headers)
 
 
-async def group_down(worker: Worker, exchange: http11.Exchange) -> None:
-    """Refuse with all slots free: the group does not run."""
-    headers = worker.headers(exchange)
+async def group_unavailable(worker: Worker, exchange: http11.Exchange) -> None:
+    """Refuse with all slots free: the group is unavailable."""
+    headers = worker.response_headers(exchange)
     headers['X-Aspenfold-Not-Executed'] = '1'
     headers['X-Aspenfold-Instance-Load'] = f'0,0,{worker.slots}'
-    await exchange.answer(503, headers)
+    await exchange.respond(503, headers)
 
 
-async def silent_503(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and answer 503 without the word that it did not run."""
-    worker.ran(exchange)
-    await exchange.answer(503, worker.headers(exchange))
+async def unmarked_503(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then respond 503 without the not-executed header."""
+    worker.record_execution(exchange)
+    await exchange.respond(503, worker.response_headers(exchange))
 
 
 async def run_and_reset(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and lose the answer."""
-    worker.ran(exchange)
+    """Execute, then reset the connection."""
+    worker.record_execution(exchange)
     exchange.reset()
 
 
-async def truncated(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and break off in the body."""
-    worker.ran(exchange)
-    lines = [f'{n}: {v}' for n, v in worker.headers(exchange).items()]
+async def truncated_body(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then close the connection in the middle of the body."""
+    worker.record_execution(exchange)
+    lines = [f'{n}: {v}' for n, v in worker.response_headers(exchange).items()]
     head = '\r\n'.join(['HTTP/1.1 200 OK', *lines, 'content-length: 50'])
     await exchange.write(head.encode() + b'\r\n\r\nhalf')
     exchange.close()
 
 
-async def unframed(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and answer without a length."""
-    worker.ran(exchange)
-    lines = [f'{n}: {v}' for n, v in worker.headers(exchange).items()]
+async def no_content_length(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then respond without a content length."""
+    worker.record_execution(exchange)
+    lines = [f'{n}: {v}' for n, v in worker.response_headers(exchange).items()]
     head = '\r\n'.join(['HTTP/1.1 200 OK', *lines])
     await exchange.write(head.encode() + b'\r\n\r\nno length')
     exchange.close()
 
 
-async def unframed_reset(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and reset an answer that has no length."""
-    worker.ran(exchange)
-    lines = [f'{n}: {v}' for n, v in worker.headers(exchange).items()]
+async def no_content_length_reset(
+    worker: Worker, exchange: http11.Exchange
+) -> None:
+    """Execute, then reset a response without a content length."""
+    worker.record_execution(exchange)
+    lines = [f'{n}: {v}' for n, v in worker.response_headers(exchange).items()]
     head = '\r\n'.join(['HTTP/1.1 200 OK', *lines])
     await exchange.write(head.encode() + b'\r\n\r\nno len')
     await asyncio.sleep(0.05)
     exchange.reset()
 
 
-async def others_answer(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and send a late answer to another request."""
-    worker.ran(exchange)
-    headers = worker.headers(exchange)
-    headers[ATTEMPT] = 'of-another-request'
-    await exchange.answer(200, headers, b'not yours')
+async def wrong_attempt_id(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then respond with the attempt id of another request."""
+    worker.record_execution(exchange)
+    headers = worker.response_headers(exchange)
+    headers[ATTEMPT_HEADER] = 'of-another-request'
+    await exchange.respond(200, headers, b'not yours')
 
 
-async def not_http(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and send bytes that are no answer."""
-    worker.ran(exchange)
+async def invalid_http(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then send bytes that are not HTTP."""
+    worker.record_execution(exchange)
     await exchange.write(b'\x00\x01 nonsense\r\n\r\n')
     exchange.close()
 
 
-async def hang(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and never answer."""
-    worker.ran(exchange)
+async def never_respond(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute without ever responding."""
+    worker.record_execution(exchange)
     await asyncio.Event().wait()
 
 
-def event(number: int) -> bytes:
-    """Return the event that every worker makes as this number."""
+def event_bytes(number: int) -> bytes:
+    """Return the server-sent event with this id, equal on all workers."""
     return f'id: {number}\ndata: piece {number}\n\n'.encode()
 
 
-async def stream(worker: Worker, exchange: http11.Exchange) -> None:
-    """Run, and give all events after the caller's last one."""
-    await _stream(worker, exchange, worker.events)
+async def stream_events(worker: Worker, exchange: http11.Exchange) -> None:
+    """Execute, then stream the events after the caller's last event id."""
+    await _send_events(worker, exchange, worker.event_count)
 
 
-async def stream_broken(worker: Worker, exchange: http11.Exchange) -> None:
-    """Give four events and a half, then reset."""
-    await _stream(worker, exchange, 4)
-    await exchange.write(b'14\r\n' + event(5)[:9])
+async def stream_then_reset(worker: Worker, exchange: http11.Exchange) -> None:
+    """Stream four complete events and a partial one, then reset."""
+    await _send_events(worker, exchange, 4)
+    await exchange.write(b'14\r\n' + event_bytes(5)[:9])
     await asyncio.sleep(0.05)
     exchange.reset()
 
 
-async def _stream(
+async def _send_events(
     worker: Worker, exchange: http11.Exchange, last: int
 ) -> None:
-    worker.ran(exchange)
-    lines = [f'{n}: {v}' for n, v in worker.headers(exchange).items()]
+    worker.record_execution(exchange)
+    lines = [f'{n}: {v}' for n, v in worker.response_headers(exchange).items()]
     lines += ['content-type: text/event-stream', 'transfer-encoding: chunked']
     head = '\r\n'.join(['HTTP/1.1 200 OK', *lines])
     await exchange.write(head.encode() + b'\r\n\r\n')
     after = int(exchange.request.headers.get('last-event-id', '0'))
     for number in range(after + 1, last + 1):
-        data = event(number)
+        data = event_bytes(number)
         await exchange.write(f'{len(data):x}\r\n'.encode() + data + b'\r\n')
-        await asyncio.sleep(worker.gap_s)
-    if last == worker.events:
+        await asyncio.sleep(worker.event_interval_s)
+    if last == worker.event_count:
         await exchange.write(b'0\r\n\r\n')
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -56,7 +56,7 @@
         assert answer.whole
         assert answer.body == b'answer of w-1'
         assert answer.headers[SEAL_HEADER] == 'seal-w-1'
-        request = rig.workers[0].arrivals[0]
+        request = rig.workers[0].requests[0]
         assert (request.method, request.target) == ('POST', '/safe/a?b=c')
         assert request.body == b'hello'
 
@@ -76,7 +76,7 @@
             X_Aspenfold_Deadline_Remaining_Ms='900',
             X_Custom='kept',
         )
-        got = rig.workers[0].arrivals[0].headers
+        got = rig.workers[0].requests[0].headers
         assert got['x-aspenfold-tenant'] == 'one'
         assert got['x-aspenfold-expect-instance'] == 'w-1'
         assert 0 < int(got['x-aspenfold-deadline-remaining-ms']) <= 900
@@ -117,7 +117,7 @@
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
         assert not rig.process.ready
-        rig.store.trouble = rig.store.trouble.NONE
+        rig.store.fault = rig.store.fault.NONE
         await rig.add_worker('w-1')
         await rig.ready()
         assert (await rig.ask('/safe/')).status == 200
@@ -126,7 +126,7 @@
         rig = rigs.Rig()
         await rig.store.start()
         await rig.configure(rigs.plan())
-        rig.store.trouble = rig.store.trouble.BUSY
+        rig.store.fault = rig.store.fault.UNAVAILABLE
         await rig.start()
         try:
             await scene(rig)
@@ -140,14 +140,16 @@
     """The caller must get only the complete response."""
 
     async def scene(rig: rigs.Rig) -> None:
-        bad, _ = await add_two_workers(rig, workers.failing, workers.whole)
+        bad, _ = await add_two_workers(
+            rig, workers.server_error, workers.complete
+        )
         # Either endpoint may be chosen first.
         for _ in range(64):
             answer = await rig.ask('/safe/')
-            if bad.arrivals:
+            if bad.requests:
                 break
         assert answer.status == 200
-        assert bad.arrivals
+        assert bad.requests
 
     run_scene(scene)
 
@@ -155,13 +157,13 @@
 @pytest.mark.parametrize(
     ('script', 'status'),
     [
-        (workers.failing, 500),
+        (workers.server_error, 500),
         (workers.run_and_reset, 502),
-        (workers.truncated, 502),
-        (workers.silent_503, 502),
-        (workers.others_answer, 502),
-        (workers.not_http, 502),
-        (workers.unframed_reset, 502),
+        (workers.truncated_body, 502),
+        (workers.unmarked_503, 502),
+        (workers.wrong_attempt_id, 502),
+        (workers.invalid_http, 502),
+        (workers.no_content_length_reset, 502),
     ],
 )
 def test_an_unsafe_request_that_may_have_run_runs_once(
@@ -183,11 +185,13 @@
     """A refused connection proves that it has not run."""
 
     async def scene(rig: rigs.Rig) -> None:
-        shut, _ = await add_two_workers(rig, workers.whole, workers.whole)
+        shut, _ = await add_two_workers(
+            rig, workers.complete, workers.complete
+        )
         await shut.stop()
         for _ in range(6):
             assert (await rig.ask('/unsafe/', body='x')).status == 200
-        assert not shut.arrivals
+        assert not shut.requests
 
     run_scene(scene)
 
@@ -196,7 +200,9 @@
     """Nothing was sent, so nothing is retried."""
 
     async def scene(rig: rigs.Rig) -> None:
-        shut, _ = await add_two_workers(rig, workers.whole, workers.whole)
+        shut, _ = await add_two_workers(
+            rig, workers.complete, workers.complete
+        )
         await shut.stop()
         budget = rig.process._core.retry_budget('plain')
         while budget.take():
@@ -211,11 +217,11 @@
     """With one attempt allowed, a refusal must not be retried."""
 
     async def scene(rig: rigs.Rig) -> None:
-        await add_two_workers(rig, workers.full, workers.full)
+        await add_two_workers(rig, workers.at_capacity, workers.at_capacity)
         answer = await rig.ask('/once/', body='x')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
-        assert sum(len(w.arrivals) for w in rig.workers) == 1
+        assert sum(len(w.requests) for w in rig.workers) == 1
         assert run_count(rig) == 0
 
     run_scene(scene)
@@ -225,7 +231,7 @@
     """The caller gets it with a length."""
 
     async def scene(rig: rigs.Rig) -> None:
-        await rig.add_worker('w-1', workers.unframed)
+        await rig.add_worker('w-1', workers.no_content_length)
         await rig.ready()
         answer = await rig.ask('/unsafe/', body='x')
         assert (answer.status, answer.body) == (200, b'no length')
@@ -250,7 +256,7 @@
 
 def whole_stream(count: int = 10) -> bytes:
     """Return the bytes of a complete stream."""
-    return b''.join(workers.event(n) for n in range(1, count + 1))
+    return b''.join(workers.event_bytes(n) for n in range(1, count + 1))
 
 
 def test_an_interrupted_stream_is_resumed_at_the_next_event() -> None:
@@ -258,17 +264,17 @@
 
     async def scene(rig: rigs.Rig) -> None:
         broken, _ = await add_two_workers(
-            rig, workers.stream_broken, workers.stream
+            rig, workers.stream_then_reset, workers.stream_events
         )
         # Either endpoint may be chosen first.
         for _ in range(64):
             answer = await rig.ask('/stream/', body='x')
             assert answer.whole
             assert answer.body == whole_stream()
-            if broken.arrivals:
+            if broken.requests:
                 break
         assert answer.headers[SEAL_HEADER] == 'seal-w-1'
-        resumed = rig.workers[1].arrivals[-1].headers
+        resumed = rig.workers[1].requests[-1].headers
         assert resumed['last-event-id'] == '4'
 
     run_scene(scene)
@@ -279,7 +285,7 @@
 
     async def scene(rig: rigs.Rig) -> None:
         await add_two_workers(
-            rig, workers.stream_broken, workers.stream_broken
+            rig, workers.stream_then_reset, workers.stream_then_reset
         )
         answer = await rig.ask('/song/', body='x')
         assert answer.status == 200
@@ -294,21 +300,23 @@
     """The first event must arrive before the stream is complete."""
 
     async def scene(rig: rigs.Rig) -> None:
-        worker = await rig.add_worker('w-1', workers.stream)
-        worker.gap_s = 0.2
+        worker = await rig.add_worker('w-1', workers.stream_events)
+        worker.event_interval_s = 0.2
         await rig.ready()
         reader, writer = await rig.connect()
         writer.write(rig.head('/stream/')[1])
         data = b''
-        while workers.event(1) not in data:
+        while workers.event_bytes(1) not in data:
             data += await reader.read(1000)
-        assert workers.event(3) not in data
+        assert workers.event_bytes(3) not in data
         writer.close()
 
     run_scene(scene)
 
 
-@pytest.mark.parametrize('script', [workers.hang, workers.stream])
+@pytest.mark.parametrize(
+    'script', [workers.never_respond, workers.stream_events]
+)
 def test_a_disconnect_of_the_caller_cancels_the_request(
     script: workers.Script,
 ) -> None:
@@ -316,8 +324,8 @@
 
     async def scene(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', script)
-        worker.gap_s = 0.1
-        worker.events = 1000
+        worker.event_interval_s = 0.1
+        worker.event_count = 1000
         await rig.ready()
         _, writer = await rig.connect()
         writer.write(rig.head('/stream/')[1])
@@ -332,10 +340,10 @@
     """A request that may have run must get a 504."""
 
     async def scene(rig: rigs.Rig) -> None:
-        worker = await rig.add_worker('w-1', workers.hang)
+        worker = await rig.add_worker('w-1', workers.never_respond)
         await rig.ready()
         assert (await rig.ask('/short/')).status == 504
-        left = worker.arrivals[0].headers['x-aspenfold-deadline-remaining-ms']
+        left = worker.requests[0].headers['x-aspenfold-deadline-remaining-ms']
         assert int(left) <= 300
 
     run_scene(scene)
@@ -346,7 +354,7 @@
 
     async def scene(rig: rigs.Rig) -> None:
         for name in ('w-1', 'w-2'):
-            await rig.add_worker(name, workers.group_down, 'model')
+            await rig.add_worker(name, workers.group_unavailable, 'model')
         await rig.ready()
         answer = await rig.ask('/model/', body='x')
         assert answer.status == 503
@@ -360,10 +368,10 @@
     """It must be refused, and its retry sent to the group."""
 
     async def scene(rig: rigs.Rig) -> None:
-        worker = await rig.add_worker('w-1', workers.hang, 'model')
+        worker = await rig.add_worker('w-1', workers.never_respond, 'model')
         worker.slots = 1
         await rig.store.put(
-            rigs.endpoint_records.TOPIC, 'w-1', worker.entry('model')
+            rigs.endpoint_records.TOPIC, 'w-1', worker.store_record('model')
         )
         await rig.ready()
         _, writer = await rig.connect()
@@ -373,7 +381,7 @@
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
         assert rigs.asked(worker, '/model/') == 1
-        worker.script = workers.stream
+        worker.script = workers.stream_events
         left = {'X_Aspenfold_Deadline_Remaining_Ms': '3000'}
         assert (await rig.ask('/model/', **left)).status == 200
         writer.close()
@@ -386,20 +394,22 @@
     """Both after its record says draining and after its removal."""
 
     async def scene(rig: rigs.Rig) -> None:
-        leaving, _ = await add_two_workers(rig, workers.whole, workers.whole)
+        leaving, _ = await add_two_workers(
+            rig, workers.complete, workers.complete
+        )
         topic = rigs.endpoint_records.TOPIC
         if how == 'removed':
             await rig.store.remove(topic, 'w-1')
         else:
-            entry = leaving.entry('plain', 'draining')
+            entry = leaving.store_record('plain', 'draining')
             await rig.store.put(topic, 'w-1', entry)
         await rigs.until(lambda: rig.process.routable('plain') == 1)
         # The state is kept while the store is unavailable.
-        rig.store.trouble = rig.store.trouble.RESET
-        before = len(leaving.arrivals)
+        rig.store.fault = rig.store.fault.RESET
+        before = len(leaving.requests)
         for _ in range(6):
             assert (await rig.ask('/safe/')).status == 200
-        assert len(leaving.arrivals) == before
+        assert len(leaving.requests) == before
 
     run_scene(scene)
 
@@ -410,16 +420,16 @@
     async def scene(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.ready()
-        rig.store.begin_stale()
-        rig.store.trouble = rig.store.trouble.NONE
+        rig.store.start_stale_reads()
+        rig.store.fault = rig.store.fault.NONE
         await rig.configure(rigs.plan(5, tenants=[]))
         await rigs.until(lambda: rig.process.plan_version == 5)
         assert (await rig.ask('/safe/', '')).status == 200
-        rig.store.drop_history(rigs.config.TOPIC)
+        rig.store.compact(rigs.config.TOPIC)
         await rig.configure(rigs.plan(3))
         await rig.configure(rigs.plan(6))
         await rigs.until(lambda: rig.process.plan_version == 6)
-        rig.store.trouble = rig.store.trouble.STALE
+        rig.store.fault = rig.store.fault.STALE_READS
         assert (await rig.ask('/safe/', '')).status == 401
         assert rig.process.plan_version == 6
 
@@ -444,8 +454,8 @@
     """The process is not ready any more, but streams must complete."""
 
     async def scene(rig: rigs.Rig) -> None:
-        worker = await rig.add_worker('w-1', workers.stream)
-        worker.gap_s = 0.05
+        worker = await rig.add_worker('w-1', workers.stream_events)
+        worker.event_interval_s = 0.05
         await rig.ready()
         asking = asyncio.ensure_future(rig.ask('/stream/', body='x'))
         await rigs.until(lambda: worker.runs)
@@ -493,7 +503,7 @@
         await rig.ready()
         assert (await rig.send(data)).status == status
         assert (await rig.ask('/safe/')).status == 200
-        assert len(rig.workers[0].arrivals) == 1
+        assert len(rig.workers[0].requests) == 1
 
     run_scene(scene)
 
@@ -521,11 +531,11 @@
     worker: workers.Worker, exchange: http11.Exchange
 ) -> None:
     """Send one event and start another that never ends."""
-    worker.ran(exchange)
-    lines = [f'{n}: {v}' for n, v in worker.headers(exchange).items()]
+    worker.record_execution(exchange)
+    lines = [f'{n}: {v}' for n, v in worker.response_headers(exchange).items()]
     lines += ['content-type: text/event-stream']
     head = '\r\n'.join(['HTTP/1.1 200 OK', *lines])
-    await exchange.write(head.encode() + b'\r\n\r\n' + workers.event(1))
+    await exchange.write(head.encode() + b'\r\n\r\n' + workers.event_bytes(1))
     for _ in range(4 * event_stream.MAX_EVENT_BYTES // ENDLESS_PART):
         await exchange.write(b'x' * ENDLESS_PART)
     await asyncio.Event().wait()
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -49,7 +49,7 @@
         )
         await worker.start()
         rig.workers.append(worker)
-        entry = worker.entry('model')
+        entry = worker.store_record('model')
         await rig.store.put(rigs.endpoint_records.TOPIC, worker.name, entry)
 
 
@@ -57,7 +57,7 @@
     rig: rigs.Rig,
 ) -> tuple[workers.Worker, outage_module.Outage]:
     """Add a group that was unavailable for most of the usual outage."""
-    worker = await rig.add_worker('w-1', workers.group_down, 'model')
+    worker = await rig.add_worker('w-1', workers.group_unavailable, 'model')
     await rig.ready()
     assert (await rig.ask('/model/')).status == 503
     outage = rig.process.outage('model')
@@ -76,7 +76,7 @@
             passing = asyncio.ensure_future(group.run())
             holder = group.world.ranks[0]
             await rigs.until(lambda: holder.held is not None)
-            rig.store.trouble = rig.store.trouble.RESET
+            rig.store.fault = rig.store.fault.RESET
             await rig.process.drain()
             assert holder.held is None
             before = group.world.passes
@@ -99,7 +99,7 @@
             )
             await asyncio.sleep(0.1)
             assert not waiting.done()
-            worker.script = workers.stream
+            worker.script = workers.stream_events
             assert (await rig.ask('/model/')).status == 200
             answer = await waiting
             assert answer.status == 200
@@ -131,7 +131,9 @@
             '/model/', 'streaming', service='model', timeout_ms=8000
         )
         async with rigs.running(rigs.plan(routes=[route])) as rig:
-            worker = await rig.add_worker('w-1', workers.group_down, 'model')
+            worker = await rig.add_worker(
+                'w-1', workers.group_unavailable, 'model'
+            )
             await rig.ready()
             waiting = [
                 asyncio.ensure_future(rig.ask('/model/')) for _ in range(4)
@@ -139,7 +141,7 @@
             await rigs.until(lambda: rigs.asked(worker, '/model/') == 4)
             await asyncio.sleep(0.1)
             assert not any(task.done() for task in waiting)
-            worker.script = workers.stream
+            worker.script = workers.stream_events
             assert (await rig.ask('/model/')).status == 200
             answers = [await task for task in waiting]
             # The budget of a new process allows one retry.
@@ -155,8 +157,10 @@
 
     async def run() -> None:
         async with rigs.running() as rig:
-            down = await rig.add_worker('w-1', workers.group_down, 'model')
-            await rig.add_worker('w-2', workers.stream, 'model')
+            down = await rig.add_worker(
+                'w-1', workers.group_unavailable, 'model'
+            )
+            await rig.add_worker('w-2', workers.stream_events, 'model')
             await rig.ready()
             known = rig.process._core.directory
             for name, group in (('w-1', 'g-1'), ('w-2', 'g-2')):
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -86,8 +86,8 @@
     rig = rigs.Rig()
     await rig.store.start()
     await rig.configure(rigs.plan())
-    worker = await rig.add_worker('w-1', workers.stream)
-    worker.gap_s = 0.05
+    worker = await rig.add_worker('w-1', workers.stream_events)
+    worker.event_interval_s = 0.05
     ports = free_ports.distinct(ADDRESS, 4)
     callers, health, first, last = ports
     path = tmp_path / 'settings.json'
@@ -130,7 +130,7 @@
         again = asyncio.ensure_future(repeat_sigterm(process))
         answer = await rigs.read_answer(reader)
         assert answer.whole
-        assert answer.body.count(b'data:') == worker.events
+        assert answer.body.count(b'data:') == worker.event_count
         output, _ = await asyncio.wait_for(process.communicate(), rigs.WAIT_S)
         await again
         return process.returncode or 0, output.decode()
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -72,7 +72,7 @@
             await pair.rig.store.put(
                 endpoint_records.TOPIC,
                 'w-2',
-                worker.entry('plain', 'draining'),
+                worker.store_record('plain', 'draining'),
             )
             await rigs.until(lambda: second.routable('plain') == 1)
 
@@ -101,9 +101,9 @@
 
     async def run() -> None:
         async with gateway_pair() as pair:
-            calls_before = pair.rig.store.calls
+            calls_before = pair.rig.store.request_count
             await asyncio.sleep(2.0)
-            calls = pair.rig.store.calls - calls_before
+            calls = pair.rig.store.request_count - calls_before
             # A poll every 0.9 s, and waiting reads of plan and lease.
             assert calls <= 10
 
--- a/tests/functional/test_plan_program.py
+++ b/tests/functional/test_plan_program.py
@@ -46,7 +46,9 @@
         await rig.configure(updated)
         worker = await rig.add_worker('w-1')
         await rig.store.put(
-            endpoint_records.TOPIC, 'w-1', worker.entry('plain', 'draining')
+            endpoint_records.TOPIC,
+            'w-1',
+            worker.store_record('plain', 'draining'),
         )
         status, out, _ = await run(port, 'status', '--json')
         assert status == exit_status.ExitStatus.OK
@@ -62,7 +64,7 @@
         status, out, _ = await run(port, 'explain', rigs.HOST, '/new/x')
         assert status == exit_status.ExitStatus.OK
         assert '/new/' in out
-        rig.store.drop_history(config.TOPIC)
+        rig.store.compact(config.TOPIC)
         status, out, _ = await run(port, 'audit', '--json')
         assert [r['version'] for r in json.loads(out)] == [5]
         await worker.stop()
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -69,7 +69,7 @@
         found.ended_at = found.sent_at
         found.answer = promises.callers.gateway_rig.Answer(
             status=status,
-            headers={promises.platform_worker.SEAL.lower(): 's'},
+            headers={promises.platform_worker.SEAL_HEADER.lower(): 's'},
             body=body,
             whole=whole,
         )
@@ -78,8 +78,8 @@
 
     def arrived(self, attempt: str, at: float, **headers: str) -> None:
         """Note an arrival at the endpoint."""
-        named = {promises.platform_worker.ATTEMPT: attempt, **headers}
-        self.worker.arrivals.append(
+        named = {promises.platform_worker.ATTEMPT_HEADER: attempt, **headers}
+        self.worker.requests.append(
             http11.Request(
                 method='GET',
                 target='/',
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -129,7 +129,7 @@
     async def add_worker(
         self,
         name: str,
-        script: platform_worker.Script = platform_worker.whole,
+        script: platform_worker.Script = platform_worker.complete,
         service: str = 'plain',
     ) -> platform_worker.Worker:
         """Start an endpoint and list it."""
@@ -138,7 +138,7 @@
         await worker.start()
         self.workers.append(worker)
         await self.store.put(
-            endpoint_records.TOPIC, name, worker.entry(service)
+            endpoint_records.TOPIC, name, worker.store_record(service)
         )
         return worker
 
@@ -236,7 +236,7 @@
 
     A leader asks ranks for their reports, too, some time after a start.
     """
-    return sum(request.target == path for request in worker.arrivals)
+    return sum(request.target == path for request in worker.requests)
 
 
 async def until(condition: abc.Callable[[], object]) -> None:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -21,14 +21,14 @@
 
 MISBEHAVIOURS = (
     platform_worker.run_and_reset,
-    platform_worker.truncated,
-    platform_worker.others_answer,
-    platform_worker.not_http,
-    platform_worker.unframed_reset,
-    platform_worker.full,
-    platform_worker.failing,
-    platform_worker.silent_503,
-    platform_worker.hang,
+    platform_worker.truncated_body,
+    platform_worker.wrong_attempt_id,
+    platform_worker.invalid_http,
+    platform_worker.no_content_length_reset,
+    platform_worker.at_capacity,
+    platform_worker.server_error,
+    platform_worker.unmarked_503,
+    platform_worker.never_respond,
 )
 
 LINK_TROUBLES = tuple(t for t in links.Trouble if t is not links.Trouble.NONE)
@@ -44,7 +44,9 @@
 )
 
 STORE_TROUBLES = tuple(
-    t for t in metadata_store.Trouble if t is not metadata_store.Trouble.NONE
+    t
+    for t in metadata_store.StoreFault
+    if t is not metadata_store.StoreFault.NONE
 )
 
 
@@ -206,21 +208,21 @@
     async def harm_store(self) -> None:
         """Let the store misbehave towards all; entries may lapse."""
         store = self._system.store
-        if store.trouble is not metadata_store.Trouble.NONE:
+        if store.fault is not metadata_store.StoreFault.NONE:
             return
         trouble = self._rng.choice(STORE_TROUBLES)
         self._tell(f'store {trouble.value}')
         span = self._ledger.begin('store')
-        if trouble is metadata_store.Trouble.STALE:
-            store.begin_stale()
-        store.trouble = trouble
+        if trouble is metadata_store.StoreFault.STALE_READS:
+            store.start_stale_reads()
+        store.fault = trouble
         lapsed = self._endpoint('plain')
         topic = system_module.endpoint_records.TOPIC
-        down = trouble is not metadata_store.Trouble.STALE
+        down = trouble is not metadata_store.StoreFault.STALE_READS
         if down and self._rng.random() < 0.5:
-            store.lapse(topic, lapsed.worker.name)
+            store.lose_key(topic, lapsed.worker.name)
         await self._last()
-        store.trouble = metadata_store.Trouble.NONE
+        store.fault = metadata_store.StoreFault.NONE
         await asyncio.sleep(self._rng.uniform(0.0, 1.5))
         if lapsed in self._system.endpoints:
             await self._system.tell(lapsed)
@@ -234,7 +236,7 @@
             system_module.endpoint_records.TOPIC,
             system_module.config.TOPIC,
         ):
-            self._system.store.drop_history(topic)
+            self._system.store.compact(topic)
         self._ledger.end(span)
 
     # -- endpoints -------------------------------------------------------
--- a/tests/soak/group.py
+++ b/tests/soak/group.py
@@ -188,7 +188,7 @@
                 status = await self._group.order(self._rank, message)
                 if status is None:
                     await asyncio.Event().wait()
-                await exchange.answer(status or 0)
+                await exchange.respond(status or 0)
             case _:
                 await super()._handle(exchange)
 
@@ -197,9 +197,9 @@
     exchange: http11.Exchange, body: dict[str, object] | None
 ) -> None:
     if body is None:
-        await exchange.answer(503)
+        await exchange.respond(503)
         return
-    await exchange.answer(200, {}, json.dumps(body).encode())
+    await exchange.respond(200, {}, json.dumps(body).encode())
 
 
 def _frozen(value: typing.Any) -> typing.Any:
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -20,7 +20,7 @@
 PROMISE_NOT_RUN = frozenset({408, 421, 429, 503})
 
 EVENTS = tuple(
-    platform_worker.event(n) for n in range(1, system_module.EVENTS + 1)
+    platform_worker.event_bytes(n) for n in range(1, system_module.EVENTS + 1)
 )
 
 
@@ -64,8 +64,8 @@
 
     def _arrivals(self, endpoint: system_module.Endpoint) -> None:
         name = endpoint.worker.name
-        for request in endpoint.worker.arrivals:
-            attempt = request.headers.get(platform_worker.ATTEMPT, '')
+        for request in endpoint.worker.requests:
+            attempt = request.headers.get(platform_worker.ATTEMPT_HEADER, '')
             asked = self._ledger.asked.get(attempt)
             if asked is None:
                 self._tell(f'{name} got {attempt!r}, which nobody sent')
@@ -120,7 +120,7 @@
     def _success(self, asked: ledger_module.Asked) -> None:
         answer = asked.answer
         assert answer is not None
-        if platform_worker.SEAL.lower() not in answer.headers:
+        if platform_worker.SEAL_HEADER.lower() not in answer.headers:
             self._tell(f'{asked.attempt}: a success without a signature')
         if asked.path in ledger_module.STREAMS:
             whole = b''.join(EVENTS)
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -217,7 +217,7 @@
     def entry(self) -> dict[str, object]:
         """Return its entry in the store."""
         state = 'ready' if self.leaving_at is None else 'draining'
-        found = self.worker.entry(self.service, state)
+        found = self.worker.store_record(self.service, state)
         address = f'{self.link.listen_host}:{self.link.port}'
         return {**found, 'address': address}
 
@@ -336,8 +336,8 @@
         service: str,
         host: str = '127.0.0.1',
     ) -> Endpoint:
-        worker.events = EVENTS
-        worker.gap_s = EVENT_GAP_S
+        worker.event_count = EVENTS
+        worker.event_interval_s = EVENT_GAP_S
         await worker.start()
         link = links.Link(host='127.0.0.1', port=worker.port, listen_host=host)
         await link.start()
@@ -390,12 +390,12 @@
     worker: platform_worker.Worker, exchange: http11.Exchange
 ) -> None:
     """Work a while; the answer names its request."""
-    attempt = exchange.request.headers.get(platform_worker.ATTEMPT, '')
+    attempt = exchange.request.headers.get(platform_worker.ATTEMPT_HEADER, '')
     target = exchange.request.target
     if target.startswith(('/stream/', '/song/', '/model/')):
-        await platform_worker.stream(worker, exchange)
+        await platform_worker.stream_events(worker, exchange)
         return
-    worker.ran(exchange)
+    worker.record_execution(exchange)
     await asyncio.sleep(WORK_S)
-    headers = worker.headers(exchange)
-    await exchange.answer(200, headers, b'answer to ' + attempt.encode())
+    headers = worker.response_headers(exchange)
+    await exchange.respond(200, headers, b'answer to ' + attempt.encode())
