--- a/standins/aspenfold_standins/__init__.py
+++ b/standins/aspenfold_standins/__init__.py
@@ -1,6 +1,5 @@
-"""Small stand-ins for the platform and the endpoints.
+"""Stand-ins of the platform and the endpoints, for tests and demos.
 
-They are no part of the product.  Each is a process of its own that
-speaks its protocol over HTTP, records what it really executed, and
-has faults that can be switched on.
+They are not part of the product.  Each serves its protocol over HTTP,
+records what it executed, and has faults that tests can switch on.
 """
--- a/standins/aspenfold_standins/host_list.py
+++ b/standins/aspenfold_standins/host_list.py
@@ -1,16 +1,18 @@
-"""The platform's host list, whose readers see changes with a lag."""
+"""The platform's host list, with a delay before changes show."""
 
 import threading
 import time
 import typing
 
-from aspenfold_standins import server
+from aspenfold_standins import json_server
 
 
 class HostListService:
-    """``PUT /hosts`` adds or changes a host; ``GET /hosts`` lists.
+    """Serves the host list and its changes.
 
-    Faults: ``down``; ``lag_ms``: a change shows that much later.
+    ``PUT /hosts`` adds or changes hosts, ``DELETE /hosts/NAME`` removes
+    one, ``GET /hosts`` lists them.  Faults: ``down`` (requests to list
+    fail), ``lag_ms`` (changes show after this delay).
     """
 
     def __init__(self) -> None:
@@ -19,15 +21,15 @@
         self._history: list[tuple[float, int, list[typing.Any]]] = [
             (0.0, 0, [])
         ]
-        self._faults = server.Faults()
+        self._faults = json_server.Faults()
 
-    def application(self) -> server.Application:
+    def application(self) -> json_server.Application:
         """Return the HTTP routes."""
-        app = server.Application()
+        app = json_server.Application()
         app.route('PUT', 'hosts', self._put)
         app.route('DELETE', 'hosts', self._delete)
         app.route('GET', 'hosts', self._list)
-        app.route('POST', 'faults', self._faults.serve)
+        app.route('POST', 'faults', self._faults.handle_post)
         return app
 
     def _put(
@@ -36,16 +38,16 @@
         with self._lock:
             for host in body if isinstance(body, list) else [body]:
                 self._hosts[host['name']] = host
-            return self._changed()
+            return self._record_version()
 
     def _delete(
         self, path: tuple[str, ...], query: typing.Any, body: typing.Any
     ) -> typing.Any:
         with self._lock:
             self._hosts.pop(path[0], None)
-            return self._changed()
+            return self._record_version()
 
-    def _changed(self) -> typing.Any:
+    def _record_version(self) -> typing.Any:
         version = self._history[-1][1] + 1
         self._history.append(
             (time.monotonic(), version, list(self._hosts.values()))
@@ -56,9 +58,9 @@
         self, path: typing.Any, query: typing.Any, body: typing.Any
     ) -> typing.Any:
         if self._faults.get('down'):
-            raise server.HttpError(503, 'the host list is down')
-        seen = time.monotonic() - self._faults.get('lag_ms') / 1000
+            raise json_server.HttpError(503, 'the host list is down')
+        visible_until = time.monotonic() - self._faults.get('lag_ms') / 1000
         with self._lock:
-            rows = [row for row in self._history if row[0] <= seen]
-            _, version, hosts = rows[-1]
+            visible = [row for row in self._history if row[0] <= visible_until]
+            _, version, hosts = visible[-1]
         return {'version': version, 'hosts': hosts}
--- a/standins/aspenfold_standins/server.py
+++ b/standins/aspenfold_standins/json_server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a JSON over HTTP server by CherryPy."""
+"""A server of JSON over HTTP on CherryPy, and faults, for stand-ins."""
 
 from collections import abc
 import json
@@ -8,12 +8,15 @@
 
 import cherrypy
 
-THREADS = 80
-READY_WAIT = 0.01
+THREAD_COUNT = 80
+READY_POLL_INTERVAL_S = 0.01
 
 
 class HttpError(Exception):
-    """An answer with an error status."""
+    """Raised by a handler to respond with an error status.
+
+    Underscores in the names of ``headers`` become hyphens.
+    """
 
     def __init__(self, status: int, detail: str, **headers: str) -> None:
         super().__init__(detail)
@@ -21,30 +24,30 @@
         self.headers = headers
 
 
-class Lost(Exception):
-    """Cut the connection instead of answering."""
+class ResponseLost(Exception):
+    """Raised by a handler to close the connection without a response."""
 
 
 Handler = abc.Callable[..., typing.Any]
 
 
 class Application:
-    """Routes ``(method, first path parts)`` to handlers.
+    """Routes requests to handlers by method and first path segment.
 
-    A handler gets the rest of the path, the query and the JSON body; it
-    returns a JSON value, or an iterator of bytes for a stream.
+    A handler gets the other path segments, the query and the JSON body.
+    It returns a JSON value, or an iterator of bytes for a stream.
     """
 
     def __init__(self) -> None:
         self._routes: dict[tuple[str, str], Handler] = {}
 
     def route(self, method: str, name: str, handler: Handler) -> None:
-        """Serve ``method /name/...`` by ``handler``."""
+        """Add a handler of ``method /name/...``; ``*`` is any name."""
         self._routes[method, name] = handler
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> typing.Any:
-        """Serve every request."""
+        """Handle every request; CherryPy calls this method."""
         request = cherrypy.request
         name = path[0] if path else ''
         handler = self._routes.get((request.method, name))
@@ -62,8 +65,8 @@
             for key, value in exc.headers.items():
                 cherrypy.response.headers[key.replace('_', '-')] = value
             result = {'error': str(exc)}
-        except Lost:
-            # A length that never comes, on a connection that closes.
+        except ResponseLost:
+            # The body is shorter than its length, so the client fails.
             cherrypy.response.headers['Content-Length'] = '100'
             cherrypy.response.headers['Connection'] = 'close'
             return iter(())
@@ -77,23 +80,23 @@
 
 
 class Faults:
-    """Faults of a stand-in by name, switched by ``POST /faults``."""
+    """Values of faults by name, set by ``POST /faults``."""
 
     def __init__(self, **initial: typing.Any) -> None:
         self.values: dict[str, typing.Any] = dict(initial)
 
     def get(self, name: str) -> typing.Any:
-        """Return a fault's value, 0 if it is off."""
+        """Return the value of a fault, 0 if it is off."""
         return self.values.get(name, 0)
 
-    def take(self, name: str) -> bool:
-        """Use up one of a counted fault; return whether there was one."""
-        left = self.get(name)
-        if left > 0:
-            self.values[name] = left - 1
-        return bool(left > 0)
+    def consume(self, name: str) -> bool:
+        """Decrement a counted fault; return whether it was above 0."""
+        remaining = self.get(name)
+        if remaining > 0:
+            self.values[name] = remaining - 1
+        return bool(remaining > 0)
 
-    def serve(
+    def handle_post(
         self, path: typing.Any, query: typing.Any, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
         """Handle ``POST /faults``."""
@@ -102,14 +105,17 @@
 
 
 def serve(app: Application, *, name: str, port: int) -> None:
-    """Serve until a signal; print a JSON line once ready."""
+    """Serve until the process gets a signal.
+
+    Once ready, prints a JSON line with ``name`` and the bound port.
+    """
     logging.getLogger('cherrypy').setLevel(logging.CRITICAL)
     cherrypy.config.update(
         {
             'environment': 'embedded',
             'server.socket_host': '127.0.0.1',
             'server.socket_port': port,
-            'server.thread_pool': THREADS,
+            'server.thread_pool': THREAD_COUNT,
             'request.body.processors': {},
             'request.process_request_body': False,
             'log.screen': False,
@@ -120,7 +126,7 @@
     cherrypy.server.subscribe()
     cherrypy.engine.start()
     while not cherrypy.server.httpserver.ready:
-        time.sleep(READY_WAIT)
-    bound = cherrypy.server.httpserver.bind_addr[1]
-    print(json.dumps({'ready': name, 'port': bound}), flush=True)
+        time.sleep(READY_POLL_INTERVAL_S)
+    bound_port = cherrypy.server.httpserver.bind_addr[1]
+    print(json.dumps({'ready': name, 'port': bound_port}), flush=True)
     cherrypy.engine.block()
--- a/standins/aspenfold_standins/log.py
+++ b/standins/aspenfold_standins/log_service.py
@@ -1,7 +1,8 @@
 """The platform's append-only log service.
 
-``POST /streams/NAME`` appends a record and returns its offset;
-``GET /streams/NAME?from=N&wait_ms=W`` reads.  Offsets start at 1.
+``POST /streams/NAME`` appends a record and returns its offset.
+``GET /streams/NAME?from=N&wait_ms=W`` returns the records from offset N,
+after waiting up to W milliseconds for one.  Offsets start at 1.
 """
 
 import collections
@@ -9,48 +10,49 @@
 import time
 import typing
 
-from aspenfold_standins import server
+from aspenfold_standins import json_server
 
-PAGE = 500
-MAX_WAIT = 10.0
+MAX_PAGE_RECORDS = 500
+MAX_WAIT_S = 10.0
 
 
 class Stream:
-    """One stream and its oldest kept offset."""
+    """The records of a stream, from ``first_offset`` on."""
 
     def __init__(self) -> None:
-        self.first = 1
+        self.first_offset = 1
         self.records: list[typing.Any] = []
 
     @property
-    def next(self) -> int:
-        """The offset that the next record gets."""
-        return self.first + len(self.records)
+    def next_offset(self) -> int:
+        """The offset of the next record to be appended."""
+        return self.first_offset + len(self.records)
 
     def trim(self, keep: int) -> None:
-        """Keep only the newest ``keep`` records."""
+        """Drop all but the newest ``keep`` records."""
         excess = max(0, len(self.records) - keep)
-        self.first += excess
+        self.first_offset += excess
         del self.records[:excess]
 
 
 class LogService:
-    """Streams, long polls, and faults.
+    """Serves the streams.
 
-    Faults: ``down`` (every request fails), ``delay_ms``,
-    ``lose_answers`` (so many next appends take effect but their
-    answers are lost), ``keep`` (records kept on each stream).
+    Faults: ``down`` (every request fails), ``delay_ms`` (delay of every
+    request), ``lose_answers`` (the number of next appends that take
+    effect but get an error response), ``keep`` (records kept on each
+    stream).
     """
 
     def __init__(self) -> None:
         self._streams: dict[str, Stream] = collections.defaultdict(Stream)
         self._changed = threading.Condition()
-        self._faults = server.Faults()
-        self.appends = 0
+        self._faults = json_server.Faults()
+        self.append_count = 0
 
-    def application(self) -> server.Application:
+    def application(self) -> json_server.Application:
         """Return the HTTP routes."""
-        app = server.Application()
+        app = json_server.Application()
         app.route('POST', 'streams', self._append)
         app.route('GET', 'streams', self._read)
         app.route('POST', 'faults', self._set_faults)
@@ -61,7 +63,7 @@
         self, path: typing.Any, query: typing.Any, body: dict[str, int]
     ) -> typing.Any:
         with self._changed:
-            self._faults.serve(path, query, body)
+            self._faults.handle_post(path, query, body)
             keep = self._faults.get('keep')
             if keep:
                 for stream in self._streams.values():
@@ -73,55 +75,57 @@
         self, path: typing.Any, query: typing.Any, body: typing.Any
     ) -> typing.Any:
         return {
-            'appends': self.appends,
+            'appends': self.append_count,
             'streams': {k: v.records for k, v in self._streams.items()},
         }
 
-    def _check_faults(self) -> None:
+    def _apply_faults(self) -> None:
         delay = self._faults.get('delay_ms')
         if delay:
             time.sleep(delay / 1000)
         if self._faults.get('down'):
-            raise server.HttpError(503, 'the log service is down')
+            raise json_server.HttpError(503, 'the log service is down')
 
     def _append(
         self, path: tuple[str, ...], query: typing.Any, body: typing.Any
     ) -> typing.Any:
-        self._check_faults()
+        self._apply_faults()
         with self._changed:
             stream = self._streams[path[0]]
-            offset = stream.next
+            offset = stream.next_offset
             stream.records.append(body)
-            self.appends += 1
+            self.append_count += 1
             if self._faults.get('keep'):
                 stream.trim(self._faults.get('keep'))
             self._changed.notify_all()
-            if self._faults.take('lose_answers'):
-                raise server.HttpError(504, 'the answer is lost')
+            if self._faults.consume('lose_answers'):
+                raise json_server.HttpError(504, 'the response was lost')
         return {'offset': offset}
 
     def _read(
         self, path: tuple[str, ...], query: dict[str, str], body: typing.Any
     ) -> typing.Any:
-        self._check_faults()
+        self._apply_faults()
         start = int(query.get('from', 1))
-        wait = min(MAX_WAIT, int(query.get('wait_ms', 0)) / 1000)
+        wait = min(MAX_WAIT_S, int(query.get('wait_ms', 0)) / 1000)
         with self._changed:
             self._changed.wait_for(
                 lambda: (
-                    self._streams[path[0]].next > start
+                    self._streams[path[0]].next_offset > start
                     or self._faults.get('down')
                 ),
                 timeout=wait,
             )
             if self._faults.get('down'):
-                raise server.HttpError(503, 'the log service is down')
+                raise json_server.HttpError(503, 'the log service is down')
             stream = self._streams[path[0]]
-            begin = max(start, stream.first)
-            rows = stream.records[begin - stream.first :][:PAGE]
+            begin = max(start, stream.first_offset)
+            rows = stream.records[begin - stream.first_offset :][
+                :MAX_PAGE_RECORDS
+            ]
             return {
-                'first': stream.first,
-                'next': stream.next,
+                'first': stream.first_offset,
+                'next': stream.next_offset,
                 'records': [
                     {'offset': begin + i, 'body': row}
                     for i, row in enumerate(rows)
--- a/standins/aspenfold_standins/plain.py
+++ b/standins/aspenfold_standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service, some of whose calls must not be repeated."""
+"""A plain service, which executes calls that must not be repeated."""
 
 import threading
 import time
@@ -6,25 +6,25 @@
 
 import cherrypy
 
-from aspenfold_standins import server
+from aspenfold_standins import json_server
 
 
 class PlainService:
-    """Executes every call that reaches it and records it.
+    """Executes and records every call.
 
-    Faults: ``delay_ms``; ``lose_answers``: so many next calls run but
-    their answers are lost; ``refuse``: connections are cut unread.
+    Faults: ``delay_ms`` (delay of every response), ``lose_answers`` (the
+    number of next calls that run but get no response).
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._runs: list[dict[str, typing.Any]] = []
-        self._faults = server.Faults()
+        self._faults = json_server.Faults()
 
-    def application(self) -> server.Application:
+    def application(self) -> json_server.Application:
         """Return the HTTP routes."""
-        app = server.Application()
-        app.route('POST', 'faults', self._faults.serve)
+        app = json_server.Application()
+        app.route('POST', 'faults', self._faults.handle_post)
         app.route('GET', 'record', self._record)
         app.route('POST', '*', self._run)
         return app
@@ -52,8 +52,8 @@
                     'started': time.time(),
                 }
             )
-            lose = self._faults.take('lose_answers')
+            loses_response = self._faults.consume('lose_answers')
         time.sleep(self._faults.get('delay_ms') / 1000)
-        if lose:
-            raise server.Lost
+        if loses_response:
+            raise json_server.ResponseLost
         return {'operation': operation, 'run': number, 'echo': body}
--- a/standins/aspenfold_standins/weight_store.py
+++ b/standins/aspenfold_standins/weight_store.py
@@ -1,24 +1,27 @@
-"""The weight store, limited to so many weights a second."""
+"""The store of expert weights, with a rate limit."""
 
 import threading
 import time
 import typing
 
-from aspenfold_standins import server
+from aspenfold_standins import json_server
 
 
 class WeightStore:
-    """``GET /weights/EXPERT``; 429 with Retry-After above the rate."""
+    """Serves ``GET /weights/EXPERT``, at most ``rate`` times per second.
+
+    Requests above the rate get a 429 response with Retry-After.
+    """
 
     def __init__(self, *, rate: float) -> None:
         self._rate = rate
         self._lock = threading.Lock()
-        self._free_at = 0.0
-        self._served = 0
+        self._next_allowed_at = 0.0
+        self._served_count = 0
 
-    def application(self) -> server.Application:
+    def application(self) -> json_server.Application:
         """Return the HTTP routes."""
-        app = server.Application()
+        app = json_server.Application()
         app.route('GET', 'weights', self._get)
         app.route('GET', 'record', self._record)
         return app
@@ -26,18 +29,20 @@
     def _record(
         self, path: typing.Any, query: typing.Any, body: typing.Any
     ) -> typing.Any:
-        return {'served': self._served}
+        return {'served': self._served_count}
 
     def _get(
         self, path: tuple[str, ...], query: typing.Any, body: typing.Any
     ) -> typing.Any:
         now = time.monotonic()
         with self._lock:
-            wait = self._free_at - now
+            wait = self._next_allowed_at - now
             if wait > 0:
-                raise server.HttpError(
-                    429, 'over the rate', Retry_After=f'{wait:.3f}'
+                raise json_server.HttpError(
+                    429, 'rate limit exceeded', Retry_After=f'{wait:.3f}'
                 )
-            self._free_at = max(now, self._free_at) + 1 / self._rate
-            self._served += 1
+            self._next_allowed_at = (
+                max(now, self._next_allowed_at) + 1 / self._rate
+            )
+            self._served_count += 1
         return {'expert': path[0]}
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -167,7 +167,7 @@
     deployment.wait_for('the stream', lambda: bool(streaming(deployment)))
     (name,) = streaming(deployment)
     deployment.restart_agent(name)
-    assert stream.result().text() == engine.answer('Credo', 300)
+    assert stream.result().text() == engine.generate_text('Credo', 300)
     one_map(deployment)
 
 
@@ -195,7 +195,7 @@
     deployment.wait_for(
         'more steps', lambda: one_map(deployment) > before + 500
     )
-    assert client.stream(0, 'Sanctus', 20).text() == engine.answer(
+    assert client.stream(0, 'Sanctus', 20).text() == engine.generate_text(
         'Sanctus', 20
     )
 
@@ -224,7 +224,7 @@
     entry.terminate()
     agent.terminate()
     for number, stream in enumerate(streams):
-        right = engine.answer(f'Agnus {number}', 300)
+        right = engine.generate_text(f'Agnus {number}', 300)
         assert stream.result().text() == right
     assert entry.wait() == 0
     assert agent.wait() == 0
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -184,7 +184,7 @@
         """Stream a generation and compare it with the engine's."""
         text = self.generate(1, 'Gloria in D', TOKENS)
         check(
-            text == engine.answer('Gloria in D', TOKENS),
+            text == engine.generate_text('Gloria in D', TOKENS),
             f'a stream of {TOKENS} tokens is whole: {text[:32]!r}...',
         )
 
@@ -206,7 +206,7 @@
         self.deployment.wait_for('the drain', lambda: self.leaving(name))
         thread.join()
         check(
-            texts == [engine.answer('Kyrie in G', DRAINED_TOKENS)],
+            texts == [engine.generate_text('Kyrie in G', DRAINED_TOKENS)],
             f'its stream of {DRAINED_TOKENS} tokens was not cut',
         )
 
