--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import outage as outage_module
 from tests.lib import gateway_rig as rigs
-from tests.soak import group as group_module
+from tests.soak import rank_group
 
 RANKS = 2
 
@@ -17,14 +17,14 @@
 """Time the stand-in takes to release a pass, in seconds."""
 
 
-class SlowRelease(group_module.Group):
+class SlowRelease(rank_group.RankGroup):
     """A group that releases held passes slowly."""
 
     async def order(
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
         """Apply an order; delay a release."""
-        if group_module.OPS[message['op']] is rank_protocol.Op.RELEASE:
+        if rank_group.OPS[message['op']] is rank_protocol.Op.RELEASE:
             await asyncio.sleep(RELEASE_S)
         return await super().order(rank, message)
 
@@ -33,7 +33,7 @@
     """Return a plan with the group's sizes for the model service."""
     engine = {
         'sets': 1,
-        'experts': group_module.EXPERTS,
+        'experts': rank_group.EXPERTS,
         'placements': 6,
         'spare': 4,
     }
@@ -41,10 +41,10 @@
     return rigs.plan(services=services)
 
 
-async def add_ranks(rig: rigs.Rig, group: group_module.Group) -> None:
+async def add_ranks(rig: rigs.Rig, group: rank_group.RankGroup) -> None:
     """Start the group's ranks and register them."""
     for number in range(RANKS):
-        worker = group_module.RankWorker(
+        worker = rank_group.RankWorker(
             f'rank-{number}', group=group, rank=number
         )
         await worker.start()
@@ -74,13 +74,13 @@
         async with rigs.running(plan()) as rig:
             await add_ranks(rig, group)
             passing = asyncio.ensure_future(group.run())
-            holder = group.world.ranks[0]
+            holder = group.simulation.ranks[0]
             await rigs.until(lambda: holder.held is not None)
             rig.store.trouble = rig.store.trouble.RESET
             await rig.process.drain()
             assert holder.held is None
-            before = group.world.passes
-            await rigs.until(lambda: group.world.passes > before + 3)
+            before = group.simulation.passes
+            await rigs.until(lambda: group.simulation.passes > before + 3)
             assert group.violation is None
             passing.cancel()
             group.stop()
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -20,7 +20,7 @@
 
     rig: rigs.Rig
     processes: list[gateway.GatewayProcess]
-    links: list[links.Link]
+    links: list[links.LinkProxy]
 
 
 @contextlib.asynccontextmanager
@@ -34,7 +34,9 @@
     (port,) = free_ports.distinct(f'{NETWORK}.1', 1)
     try:
         for number in (1, 2):
-            link = links.Link(host=rigs.LOOPBACK, port=rig.store.port)
+            link = links.LinkProxy(
+                target_host=rigs.LOOPBACK, target_port=rig.store.port
+            )
             await link.start()
             pair.links.append(link)
             process = rigs.process(
@@ -64,7 +66,7 @@
     async def run() -> None:
         async with gateway_pair() as pair:
             second = pair.processes[1]
-            pair.links[1].begin(links.Trouble.SILENT)
+            pair.links[1].start_fault(links.LinkFault.SILENT)
             await pair.rig.configure(rigs.plan(9))
             await rigs.until(lambda: second.plan_version == 9)
             worker = await pair.rig.add_worker('w-2')
@@ -85,7 +87,7 @@
     async def run() -> None:
         async with gateway_pair() as pair:
             first, second = pair.processes
-            pair.links[0].begin(links.Trouble.SILENT)
+            pair.links[0].start_fault(links.LinkFault.SILENT)
             await pair.rig.configure(rigs.plan(4))
             await rigs.until(lambda: second.plan_version == 4)
             await rigs.until(lambda: first.plan_version == 4)
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -23,7 +23,7 @@
 from aspenfold.platform import settings
 from tests.lib import free_ports
 from tests.lib import gateway_rig as rigs
-from tests.soak import group as group_module
+from tests.soak import rank_group
 
 PROGRAM = [
     sys.executable,
@@ -32,7 +32,7 @@
 ]
 
 
-class UnresponsiveRank(group_module.RankWorker):
+class UnresponsiveRank(rank_group.RankWorker):
     """A rank that accepts requests and closes without an answer."""
 
     async def _handle(self, exchange: http11.Exchange) -> None:
@@ -67,8 +67,8 @@
     """All other requests are refused."""
 
     async def run() -> None:
-        group = group_module.Group(size=1, rng=random.Random(1))
-        rank = group_module.RankWorker('r', group=group, rank=0)
+        group = rank_group.RankGroup(size=1, rng=random.Random(1))
+        rank = rank_group.RankWorker('r', group=group, rank=0)
         await rank.start()
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
         running_agent = agent(port, rank)
@@ -96,7 +96,7 @@
         )
         answer = await client.order(rigs.LOOPBACK, port, order)
         assert answer is rank_protocol.Answer.ACCEPTED
-        assert group.world.ranks[0].held == order.step
+        assert group.simulation.ranks[0].held == order.step
         await running_agent.drain()
         await rank.stop()
 
@@ -107,7 +107,7 @@
     """Any status would look like an answer of the engine."""
 
     async def run() -> None:
-        group = group_module.Group(size=1, rng=random.Random(1))
+        group = rank_group.RankGroup(size=1, rng=random.Random(1))
         rank = UnresponsiveRank('r', group=group, rank=0)
         await rank.start()
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
@@ -122,7 +122,7 @@
     asyncio.run(run())
 
 
-class SlowRank(group_module.RankWorker):
+class SlowRank(rank_group.RankWorker):
     """A rank that answers after a delay."""
 
     asked = 0
@@ -137,7 +137,7 @@
     """It also closes idle connections, on which calls would be lost."""
 
     async def run() -> None:
-        group = group_module.Group(size=1, rng=random.Random(1))
+        group = rank_group.RankGroup(size=1, rng=random.Random(1))
         rank = SlowRank('r', group=group, rank=0)
         await rank.start()
         (port,) = free_ports.distinct(rigs.LOOPBACK, 1)
@@ -164,8 +164,8 @@
     """The platform starts it, and sends SIGHUP and SIGTERM."""
 
     async def run() -> tuple[int, str]:
-        group = group_module.Group(size=1, rng=random.Random(1))
-        rank = group_module.RankWorker('r', group=group, rank=0)
+        group = rank_group.RankGroup(size=1, rng=random.Random(1))
+        rank = rank_group.RankWorker('r', group=group, rank=0)
         await rank.start()
         first, last = sorted(free_ports.distinct(rigs.LOOPBACK, 2))
         path = tmp_path / 'settings.json'
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -11,10 +11,10 @@
 import pytest
 
 from tests.lib import free_ports
-from tests.soak import ledger as ledger_module
+from tests.soak import guarantees
 from tests.soak import main
-from tests.soak import promises
-from tests.soak import system as system_module
+from tests.soak import soak_history
+from tests.soak import system_under_test
 
 SEEDS = [
     entry['seed']
@@ -33,7 +33,7 @@
 ) -> None:
     """Requests are served meanwhile, and nothing is broken."""
     result = asyncio.run(
-        main.soak(seed=seed, duration_s=DURATION_S, folder=tmp_path)
+        main.run_soak(seed=seed, duration_s=DURATION_S, folder=tmp_path)
     )
     assert result.broken == [], result.faults
     assert result.served
@@ -43,23 +43,25 @@
     """A checker over what a test says that was seen."""
 
     def __init__(self, tmp_path: pathlib.Path) -> None:
-        self.ledger = ledger_module.Ledger()
-        self.system = system_module.System(
+        self.ledger = soak_history.SoakHistory()
+        self.system = system_under_test.SystemUnderTest(
             folder=tmp_path, rng=main.random.Random(1), gateways=0
         )
-        self.worker = system_module.platform_worker.Worker('w')
-        self.endpoint = system_module.Endpoint(
+        self.worker = system_under_test.platform_worker.Worker('w')
+        self.endpoint = system_under_test.Endpoint(
             worker=self.worker,
-            link=system_module.links.Link(host='127.0.0.1', port=1),
+            link=system_under_test.links.LinkProxy(
+                target_host='127.0.0.1', target_port=1
+            ),
             service='plain',
         )
         self.system.endpoints.append(self.endpoint)
 
     def asked(
         self, path: str, status: int = 0, body: bytes = b'', whole: bool = True
-    ) -> ledger_module.Asked:
+    ) -> soak_history.RequestRecord:
         """Note a request and its answer."""
-        found = ledger_module.Asked(
+        found = soak_history.RequestRecord(
             attempt='soak-1',
             path=path,
             gateway='g',
@@ -67,9 +69,9 @@
             sent_at=time.monotonic(),
         )
         found.ended_at = found.sent_at
-        found.answer = promises.callers.gateway_rig.Answer(
+        found.answer = guarantees.callers.gateway_rig.Answer(
             status=status,
-            headers={promises.platform_worker.SEAL.lower(): 's'},
+            headers={guarantees.platform_worker.SEAL.lower(): 's'},
             body=body,
             whole=whole,
         )
@@ -78,7 +80,7 @@
 
     def arrived(self, attempt: str, at: float, **headers: str) -> None:
         """Note an arrival at the endpoint."""
-        named = {promises.platform_worker.ATTEMPT: attempt, **headers}
+        named = {guarantees.platform_worker.ATTEMPT: attempt, **headers}
         self.worker.arrivals.append(
             http11.Request(
                 method='GET',
@@ -91,7 +93,7 @@
 
     def broken(self) -> str:
         """Return what the checker finds, in one text."""
-        checker = promises.Checker(
+        checker = guarantees.GuaranteeChecker(
             system=self.system, ledger=self.ledger, probers=[]
         )
         return '; '.join(checker.check())
@@ -117,7 +119,7 @@
         )
         assert process.stdout is not None
         await process.stdout.readline()
-        gateway = system_module.Gateway(
+        gateway = system_under_test.GatewayProgram(
             name='g',
             host='127.0.0.1',
             folder=tmp_path,
@@ -125,10 +127,10 @@
         )
         log = tmp_path / 'g-1.log'
         log.write_text('')
-        found = system_module.Incarnation(
+        found = system_under_test.ProgramProcess(
             gateway='g',
             process=process,
-            target=system_module.signals.Target(pid=process.pid),
+            target=system_under_test.signals.Target(pid=process.pid),
             log=log,
         )
         gateway.incarnations.append(found)
@@ -159,7 +161,7 @@
     assert 'ran and was told 503' in found
 
     scene = Scene(tmp_path)
-    scene.asked('/stream/', 200, promises.EVENTS[1])
+    scene.asked('/stream/', 200, guarantees.EVENTS[1])
     assert 'out of order' in scene.broken()
 
     scene = Scene(tmp_path)
@@ -188,6 +190,6 @@
 
     scene = Scene(tmp_path)
     scene.system.group.violation = (
-        system_module.group_module.simulated_ranks.MixedMapsError('two')
+        system_under_test.rank_group.simulated_ranks.MixedMapsError('two')
     )
     assert 'mixed maps' in scene.broken()
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -6,8 +6,8 @@
 import time
 
 from tests.lib import gateway_rig
-from tests.soak import ledger as ledger_module
-from tests.soak import system as system_module
+from tests.soak import soak_history
+from tests.soak import system_under_test
 
 PAUSE_S = (0.02, 0.3)
 """Between two requests of a caller."""
@@ -31,8 +31,8 @@
     def __init__(
         self,
         *,
-        system: system_module.System,
-        ledger: ledger_module.Ledger,
+        system: system_under_test.SystemUnderTest,
+        ledger: soak_history.SoakHistory,
         rng: random.Random,
     ) -> None:
         self._system = system
@@ -47,14 +47,16 @@
         while True:
             await asyncio.sleep(self._rng.uniform(*PAUSE_S))
             gateway = self._rng.choice(self._system.gateways)
-            await self._ask(gateway, self._rng.choice(ledger_module.PATHS))
+            await self._ask(gateway, self._rng.choice(soak_history.PATHS))
 
-    async def _ask(self, gateway: system_module.Gateway, path: str) -> None:
+    async def _ask(
+        self, gateway: system_under_test.GatewayProgram, path: str
+    ) -> None:
         try:
             reader, writer = await self._connection(gateway)
         except (OSError, TimeoutError):
             return
-        asked = ledger_module.Asked(
+        asked = soak_history.RequestRecord(
             attempt=f'soak-{next(_numbers)}',
             path=path,
             gateway=gateway.name,
@@ -79,7 +81,7 @@
         self._keep(gateway, asked, reader, writer)
 
     async def _connection(
-        self, gateway: system_module.Gateway
+        self, gateway: system_under_test.GatewayProgram
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         kept = self._kept.pop(gateway.name, None)
         if kept is not None and not kept[0].at_eof():
@@ -93,8 +95,8 @@
 
     def _keep(
         self,
-        gateway: system_module.Gateway,
-        asked: ledger_module.Asked,
+        gateway: system_under_test.GatewayProgram,
+        asked: soak_history.RequestRecord,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -108,7 +110,7 @@
         self._kept[gateway.name] = reader, writer
 
 
-def _request(asked: ledger_module.Asked) -> bytes:
+def _request(asked: soak_history.RequestRecord) -> bytes:
     method = 'GET' if asked.path in ('/safe/', '/short/') else 'POST'
     lines = [
         f'{method} {asked.path} HTTP/1.1',
@@ -130,9 +132,9 @@
     def __init__(
         self,
         *,
-        system: system_module.System,
-        gateway: system_module.Gateway,
-        ledger: ledger_module.Ledger,
+        system: system_under_test.SystemUnderTest,
+        gateway: system_under_test.GatewayProgram,
+        ledger: soak_history.SoakHistory,
     ) -> None:
         self._system = system
         self._gateway = gateway
@@ -183,7 +185,7 @@
             f'X-Aspenfold-Attempt-Id: probe-{number}',
         ]
         self._ledger.add(
-            ledger_module.Asked(
+            soak_history.RequestRecord(
                 attempt=f'probe-{number}',
                 path='/safe/',
                 gateway=self._gateway.name,
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -9,12 +9,12 @@
 from aspenfold_standins import metadata_store
 from aspenfold_standins import platform_worker
 
-from tests.soak import group as group_module
-from tests.soak import ledger as ledger_module
 from tests.soak import links
-from tests.soak import system as system_module
+from tests.soak import rank_group
+from tests.soak import soak_history
+from tests.soak import system_under_test
 
-Fault = abc.Callable[['Faults'], abc.Awaitable[None]]
+Fault = abc.Callable[['FaultInjector'], abc.Awaitable[None]]
 
 LAST_S = (0.3, 3.5)
 """How long a fault lasts: from a blink to over every time limit."""
@@ -31,7 +31,9 @@
     platform_worker.hang,
 )
 
-LINK_TROUBLES = tuple(t for t in links.Trouble if t is not links.Trouble.NONE)
+LINK_TROUBLES = tuple(
+    t for t in links.LinkFault if t is not links.LinkFault.NONE
+)
 
 AGENT_GAP_S = 2.0
 """Mean time between two signals to agents of ranks."""
@@ -48,14 +50,14 @@
 )
 
 
-class Faults:
+class FaultInjector:
     """Draws faults and carries them out, several at a time."""
 
     def __init__(
         self,
         *,
-        system: system_module.System,
-        ledger: ledger_module.Ledger,
+        system: system_under_test.SystemUnderTest,
+        ledger: soak_history.SoakHistory,
         rng: random.Random,
         agent_rng: random.Random,
         gap_s: float,
@@ -99,10 +101,10 @@
     async def _last(self) -> None:
         await asyncio.sleep(self._rng.uniform(*LAST_S))
 
-    def _gateway(self) -> system_module.Gateway:
+    def _gateway(self) -> system_under_test.GatewayProgram:
         return self._rng.choice(self._system.gateways)
 
-    def _endpoint(self, service: str = '') -> system_module.Endpoint:
+    def _endpoint(self, service: str = '') -> system_under_test.Endpoint:
         found = [
             e
             for e in self._system.endpoints
@@ -189,16 +191,16 @@
         endpoint = self._endpoint()
         await self._harm(endpoint.link, endpoint.worker.name, 'gateways')
 
-    async def _harm(self, link: links.Link, name: str, what: str) -> None:
-        if link.trouble is not links.Trouble.NONE:
+    async def _harm(self, link: links.LinkProxy, name: str, what: str) -> None:
+        if link.fault is not links.LinkFault.NONE:
             return
         trouble = self._rng.choice(LINK_TROUBLES)
         self._tell(f'{trouble.value} between {name} and {what}')
         span = self._ledger.begin(name)
-        link.begin(trouble)
+        link.start_fault(trouble)
         await self._last()
-        if link.trouble is trouble:
-            link.end()
+        if link.fault is trouble:
+            link.end_fault()
         self._ledger.end(span)
 
     # -- the store -------------------------------------------------------
@@ -215,7 +217,7 @@
             store.begin_stale()
         store.trouble = trouble
         lapsed = self._endpoint('plain')
-        topic = system_module.endpoint_records.TOPIC
+        topic = system_under_test.endpoint_records.TOPIC
         down = trouble is not metadata_store.Trouble.STALE
         if down and self._rng.random() < 0.5:
             store.lapse(topic, lapsed.worker.name)
@@ -231,8 +233,8 @@
         self._tell('store trimmed')
         span = self._ledger.begin('store')
         for topic in (
-            system_module.endpoint_records.TOPIC,
-            system_module.config.TOPIC,
+            system_under_test.endpoint_records.TOPIC,
+            system_under_test.config.TOPIC,
         ):
             self._system.store.drop_history(topic)
         self._ledger.end(span)
@@ -247,7 +249,7 @@
         span = self._ledger.begin(endpoint.worker.name)
         endpoint.worker.script = script
         await self._last()
-        endpoint.worker.script = system_module.sound
+        endpoint.worker.script = system_under_test.sound
         self._ledger.end(span)
 
     async def crash_endpoint(self) -> None:
@@ -293,9 +295,9 @@
     async def delay_orders(self) -> None:
         """Let ranks carry orders out late, or lose their answers."""
         self._tell('orders late')
-        self._system.group.lost = group_module.TROUBLED
+        self._system.group.lost = rank_group.TROUBLED
         await self._last()
-        self._system.group.lost = group_module.CALM
+        self._system.group.lost = rank_group.CALM
 
     # -- the plan --------------------------------------------------------
 
@@ -308,19 +310,19 @@
 
 
 FAULTS: tuple[Fault, ...] = (
-    Faults.stop_gateway,
-    Faults.kill_gateways,
-    Faults.pause_gateway,
-    Faults.reload_gateway,
-    Faults.harm_front,
-    Faults.harm_store_link,
-    Faults.harm_endpoint_link,
-    Faults.harm_store,
-    Faults.trim,
-    Faults.misbehave,
-    Faults.crash_endpoint,
-    Faults.drain_endpoint,
-    Faults.crash_rank,
-    Faults.delay_orders,
-    Faults.change_plan,
+    FaultInjector.stop_gateway,
+    FaultInjector.kill_gateways,
+    FaultInjector.pause_gateway,
+    FaultInjector.reload_gateway,
+    FaultInjector.harm_front,
+    FaultInjector.harm_store_link,
+    FaultInjector.harm_endpoint_link,
+    FaultInjector.harm_store,
+    FaultInjector.trim,
+    FaultInjector.misbehave,
+    FaultInjector.crash_endpoint,
+    FaultInjector.drain_endpoint,
+    FaultInjector.crash_rank,
+    FaultInjector.delay_orders,
+    FaultInjector.change_plan,
 )
--- a/tests/soak/promises.py
+++ b/tests/soak/guarantees.py
@@ -8,8 +8,8 @@
 
 from aspenfold._internal.observability import events
 from tests.soak import callers
-from tests.soak import ledger as ledger_module
-from tests.soak import system as system_module
+from tests.soak import soak_history
+from tests.soak import system_under_test
 
 DRAIN_S = 2.0
 """An endpoint that is leaving gets no new work after this."""
@@ -20,18 +20,18 @@
 PROMISE_NOT_RUN = frozenset({408, 421, 429, 503})
 
 EVENTS = tuple(
-    platform_worker.event(n) for n in range(1, system_module.EVENTS + 1)
+    platform_worker.event(n) for n in range(1, system_under_test.EVENTS + 1)
 )
 
 
-class Checker:
+class GuaranteeChecker:
     """Collects what was broken in one soak."""
 
     def __init__(
         self,
         *,
-        system: system_module.System,
-        ledger: ledger_module.Ledger,
+        system: system_under_test.SystemUnderTest,
+        ledger: soak_history.SoakHistory,
         probers: list[callers.Prober],
     ) -> None:
         self._system = system
@@ -62,7 +62,7 @@
 
     # -- endpoints -------------------------------------------------------
 
-    def _arrivals(self, endpoint: system_module.Endpoint) -> None:
+    def _arrivals(self, endpoint: system_under_test.Endpoint) -> None:
         name = endpoint.worker.name
         for request in endpoint.worker.arrivals:
             attempt = request.headers.get(platform_worker.ATTEMPT, '')
@@ -74,14 +74,14 @@
                 self._tell(f'{name} got the key of {attempt}')
             told = request.headers.get('x-aspenfold-tenant', '')
             known = attempt.startswith('probe-')
-            if told != ('' if known else system_module.ORGANISATION):
+            if told != ('' if known else system_under_test.ORGANISATION):
                 self._tell(f'{name} got organisation {told!r} of {attempt}')
             self._drained(endpoint, asked, request.arrived_at)
 
     def _drained(
         self,
-        endpoint: system_module.Endpoint,
-        asked: ledger_module.Asked,
+        endpoint: system_under_test.Endpoint,
+        asked: soak_history.RequestRecord,
         arrived_at: float,
     ) -> None:
         since = endpoint.leaving_at
@@ -100,9 +100,9 @@
 
     # -- requests --------------------------------------------------------
 
-    def _request(self, asked: ledger_module.Asked) -> None:
+    def _request(self, asked: soak_history.RequestRecord) -> None:
         runs = self._runs[asked.attempt]
-        once = asked.path in ledger_module.ONCE
+        once = asked.path in soak_history.ONCE
         if once and runs > 1:
             self._tell(f'{asked.attempt} of {asked.path} ran {runs} times')
         answer = asked.answer
@@ -117,12 +117,12 @@
         elif not answer.whole:
             self._cut(asked)
 
-    def _success(self, asked: ledger_module.Asked) -> None:
+    def _success(self, asked: soak_history.RequestRecord) -> None:
         answer = asked.answer
         assert answer is not None
         if platform_worker.SEAL.lower() not in answer.headers:
             self._tell(f'{asked.attempt}: a success without a signature')
-        if asked.path in ledger_module.STREAMS:
+        if asked.path in soak_history.STREAMS:
             whole = b''.join(EVENTS)
             if answer.whole and answer.body != whole:
                 self._tell(f'{asked.attempt}: events {answer.body!r}')
@@ -135,7 +135,7 @@
         if not answer.whole:
             self._cut(asked)
 
-    def _cut(self, asked: ledger_module.Asked) -> None:
+    def _cut(self, asked: soak_history.RequestRecord) -> None:
         """A connection ended early: only faults on its way excuse it."""
         if not self._runs[asked.attempt]:
             return
@@ -154,7 +154,7 @@
 
     # -- processes -------------------------------------------------------
 
-    def _process(self, found: system_module.Incarnation) -> None:
+    def _process(self, found: system_under_test.ProgramProcess) -> None:
         name = found.log.stem
         started = False
         lines = found.log.read_text('utf-8', 'replace').splitlines()
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -14,7 +14,7 @@
 """How often a silenced direction looks whether it may go on."""
 
 
-class Trouble(enum.Enum):
+class LinkFault(enum.Enum):
     """What a link does to bytes and to new connections."""
 
     NONE = 'none'
@@ -31,16 +31,20 @@
 """Over the 20 ms and more that links of a region take at their worst."""
 
 
-class Link:
+class LinkProxy:
     """Forwards connections to one address."""
 
     def __init__(
-        self, *, host: str, port: int, listen_host: str = '127.0.0.1'
+        self,
+        *,
+        target_host: str,
+        target_port: int,
+        listen_host: str = '127.0.0.1',
     ) -> None:
         self.listen_host = listen_host
-        self._host = host
-        self._port = port
-        self.trouble = Trouble.NONE
+        self._target_host = target_host
+        self._target_port = target_port
+        self.fault = LinkFault.NONE
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.port = 0
@@ -58,18 +62,18 @@
         self._server.close()
         self.reset_all()
 
-    def begin(self, trouble: Trouble) -> None:
+    def start_fault(self, fault: LinkFault) -> None:
         """Misbehave from now on."""
-        self.trouble = trouble
-        if trouble is Trouble.RESET:
+        self.fault = fault
+        if fault is LinkFault.RESET:
             self.reset_all()
 
-    def end(self) -> None:
+    def end_fault(self) -> None:
         """Behave; what was held up is not delivered late."""
-        held = (Trouble.SILENT, Trouble.NO_ANSWERS)
-        if self.trouble in held:
+        held = (LinkFault.SILENT, LinkFault.NO_ANSWERS)
+        if self.fault in held:
             self.reset_all()
-        self.trouble = Trouble.NONE
+        self.fault = LinkFault.NONE
 
     def reset_all(self) -> None:
         """Reset every connection."""
@@ -79,7 +83,7 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.trouble is Trouble.RESET:
+        if self.fault is LinkFault.RESET:
             _reset(writer)
             return
         self._writers.add(writer)
@@ -95,7 +99,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         far_reader, far_writer = await asyncio.open_connection(
-            self._host, self._port
+            self._target_host, self._target_port
         )
         self._writers.add(far_writer)
         there = asyncio.ensure_future(self._copy(reader, far_writer, False))
@@ -113,7 +117,7 @@
             there.cancel()
             back.cancel()
             self._writers.discard(far_writer)
-            if self.trouble is Trouble.RESET:
+            if self.fault is LinkFault.RESET:
                 _reset(far_writer)
             far_writer.close()
 
@@ -124,7 +128,7 @@
         answers: bool,
     ) -> None:
         while data := await reader.read(CHUNK):
-            if self.trouble is Trouble.DELAY:
+            if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(DELAY_S)
             while self._holds(answers):
                 await asyncio.sleep(POLL_S)
@@ -134,9 +138,9 @@
             await asyncio.sleep(POLL_S)
 
     def _holds(self, answers: bool) -> bool:
-        if self.trouble is Trouble.NO_ANSWERS:
+        if self.fault is LinkFault.NO_ANSWERS:
             return answers
-        return self.trouble is Trouble.SILENT
+        return self.fault is LinkFault.SILENT
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
--- a/tests/soak/main.py
+++ b/tests/soak/main.py
@@ -12,9 +12,9 @@
 
 from tests.soak import callers
 from tests.soak import faults
-from tests.soak import ledger as ledger_module
-from tests.soak import promises
-from tests.soak import system as system_module
+from tests.soak import guarantees
+from tests.soak import soak_history
+from tests.soak import system_under_test
 
 GATEWAYS = 3
 CALLERS = 12
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Result:
+class SoakResult:
     """What one soak brought."""
 
     seed: int
@@ -40,19 +40,21 @@
     folder: str
 
 
-async def soak(
+async def run_soak(
     *,
     seed: int,
     duration_s: float,
     gateways: int = GATEWAYS,
     gap_s: float = GAP_S,
     folder: pathlib.Path,
-) -> Result:
+) -> SoakResult:
     """Run one soak; what broke stands in the result."""
     rng = random.Random(seed)
-    system = system_module.System(folder=folder, rng=rng, gateways=gateways)
-    ledger = ledger_module.Ledger()
-    struck = faults.Faults(
+    system = system_under_test.SystemUnderTest(
+        folder=folder, rng=rng, gateways=gateways
+    )
+    ledger = soak_history.SoakHistory()
+    struck = faults.FaultInjector(
         system=system,
         ledger=ledger,
         rng=rng,
@@ -64,7 +66,9 @@
         for gateway in system.gateways
     ]
     tasks: list[asyncio.Task[None]] = []
-    checker = promises.Checker(system=system, ledger=ledger, probers=probers)
+    checker = guarantees.GuaranteeChecker(
+        system=system, ledger=ledger, probers=probers
+    )
     try:
         await system.start()
         late = await _all_ready(system, probers)
@@ -93,11 +97,11 @@
             raise failure
     broken = checker.check()
     asked = ledger.asked.values()
-    return Result(
+    return SoakResult(
         seed=seed,
         requests=sum(not a.attempt.startswith('probe-') for a in asked),
         served=sum(a.served for a in asked),
-        switched=system.group.world.switched,
+        switched=system.group.simulation.switched,
         broken=broken,
         faults=struck.told,
         folder=str(folder),
@@ -105,7 +109,7 @@
 
 
 async def _all_ready(
-    system: system_module.System, probers: list[callers.Prober]
+    system: system_under_test.SystemUnderTest, probers: list[callers.Prober]
 ) -> list[str]:
     """Wait until every gateway serves the newest plan; name the others."""
     end = time.monotonic() + RECOVER_S
@@ -138,7 +142,7 @@
         place = folder / str(seed)
         place.mkdir(parents=True, exist_ok=True)
         result = asyncio.run(
-            soak(
+            run_soak(
                 seed=seed,
                 duration_s=seconds,
                 gateways=gateways,
--- a/tests/soak/group.py
+++ b/tests/soak/rank_group.py
@@ -48,11 +48,11 @@
 """How late orders are carried out; the platform's may be 12 s."""
 
 
-class Group:
+class RankGroup:
     """A group of ranks whose passes begin in real time."""
 
     def __init__(self, *, size: int, rng: random.Random) -> None:
-        self.world = simulated_ranks.SimulatedRanks(
+        self.simulation = simulated_ranks.SimulatedRanks(
             seed=rng.randrange(1 << 30), size=size, faults=NO_LEADERS
         )
         self.lost = CALM
@@ -78,14 +78,14 @@
             try:
                 while done < loop.time():
                     done += TICK_S
-                    self.world.run(simulated_ranks.TICK_INTERVAL)
+                    self.simulation.run(simulated_ranks.TICK_INTERVAL)
             except simulated_ranks.MixedMapsError as exc:
                 self.violation = exc
 
     def crash(self) -> None:
         """Lose a rank: the group forms anew in a later epoch."""
-        if self.world.open:
-            self.world.crash()
+        if self.simulation.open:
+            self.simulation.crash()
 
     def stop(self) -> None:
         """Carry out no late order any more."""
@@ -96,7 +96,7 @@
 
     def report(self, rank: int, *, fresh: bool) -> dict[str, object] | None:
         """Return a rank's report as it goes over the wire."""
-        found = self.world.report(rank, fresh=fresh)
+        found = self.simulation.report(rank, fresh=fresh)
         if found is None:
             return None
         armed = found.armed
@@ -117,15 +117,15 @@
 
     def picked(self, rank: int, lists: bool) -> dict[str, object]:
         """Return a rank's counts, or its part of the map in use."""
-        world = self.world
+        simulation = self.simulation
         if not lists:
             return {
-                'epoch': world.epoch,
-                'step': world.step,
+                'epoch': simulation.epoch,
+                'step': simulation.step,
                 'counts': list(self._counts[rank]),
             }
-        state = world.ranks[rank]
-        size = len(world.ranks)
+        state = simulation.ranks[rank]
+        size = len(simulation.ranks)
         experts = [list(range(rank, EXPERTS, size))]
         if state.map:
             experts = [list(one_set[rank]) for one_set in state.map]
@@ -150,14 +150,14 @@
             self._late.add(task)
             task.add_done_callback(self._late.discard)
             return None
-        answer = self.world.execute(order)
+        answer = self.simulation.execute(order)
         if self._rng.random() < lost:
             return None
         return STATUS[answer]
 
     async def _carry_out_late(self, order: rank_protocol.Order) -> None:
         await asyncio.sleep(self._rng.uniform(*LATE_S))
-        self.world.execute(order)
+        self.simulation.execute(order)
 
 
 class RankWorker(platform_worker.Worker):
@@ -167,7 +167,7 @@
     """
 
     def __init__(
-        self, name: str, *, group: Group, rank: int, fresh: bool = False
+        self, name: str, *, group: RankGroup, rank: int, fresh: bool = False
     ) -> None:
         super().__init__(name)
         self._group = group
--- a/tests/soak/ledger.py
+++ b/tests/soak/soak_history.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Asked:
+class RequestRecord:
     """One request of a caller, and what came of it."""
 
     attempt: str
@@ -45,14 +45,14 @@
         return found is not None and found.whole and found.status == 200
 
 
-class Ledger:
+class SoakHistory:
     """All requests, and the spans in which something was disturbed."""
 
     def __init__(self) -> None:
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, RequestRecord] = {}
         self._spans: dict[str, list[list[float]]] = {}
 
-    def add(self, asked: Asked) -> None:
+    def add(self, asked: RequestRecord) -> None:
         """Note a request before it is sent."""
         self.asked[asked.attempt] = asked
 
--- a/tests/soak/system.py
+++ b/tests/soak/system_under_test.py
@@ -20,8 +20,8 @@
 from tests.lib import free_ports
 from tests.lib import gateway_rig
 from tests.lib import signals
-from tests.soak import group as group_module
 from tests.soak import links
+from tests.soak import rank_group
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Incarnation:
+class ProgramProcess:
     """One process of a gateway, from its start to its end."""
 
     gateway: str
@@ -53,7 +53,7 @@
     """SIGHUP came before the program's first line, which ignores it."""
 
 
-class Program:
+class SupervisedProgram:
     """One program on one host: its settings, and its processes."""
 
     COMMAND: tuple[str, ...] = ()
@@ -62,10 +62,10 @@
         self.name = name
         self.host = host
         self.folder = folder
-        self.incarnations: list[Incarnation] = []
+        self.incarnations: list[ProgramProcess] = []
 
     @property
-    def current(self) -> Incarnation | None:
+    def current(self) -> ProgramProcess | None:
         """The process that runs, None between two."""
         if not self.incarnations:
             return None
@@ -81,7 +81,7 @@
         path = self.folder / f'{self.name}.json'
         path.write_text(json.dumps(self.settings()))
 
-    async def start(self) -> Incarnation:
+    async def start(self) -> ProgramProcess:
         """Start a process; its output goes to a file of its own."""
         number = len(self.incarnations) + 1
         log = self.folder / f'{self.name}-{number}.log'
@@ -93,7 +93,7 @@
             process = await asyncio.create_subprocess_exec(
                 *self.COMMAND, env=variables, stdout=output, stderr=output
             )
-        found = Incarnation(
+        found = ProgramProcess(
             gateway=self.name,
             process=process,
             target=signals.Target(pid=process.pid),
@@ -137,7 +137,7 @@
         found.target.send(number)
 
 
-class Gateway(Program):
+class GatewayProgram(SupervisedProgram):
     """One gateway's host: its addresses, links and processes."""
 
     COMMAND = (*PROGRAM, 'gateway')
@@ -148,8 +148,10 @@
         super().__init__(name=name, host=host, folder=folder)
         self.internal = internal
         self.callers, self.health = free_ports.distinct(host, 2)
-        self.front = links.Link(host=host, port=self.callers)
-        self.store: links.Link
+        self.front = links.LinkProxy(
+            target_host=host, target_port=self.callers
+        )
+        self.store: links.LinkProxy
 
     def settings(self) -> dict[str, object]:
         """Return what the platform would write into the settings file."""
@@ -181,7 +183,7 @@
         return answer.status == 200
 
 
-class RankHost(Program):
+class RankAgentProgram(SupervisedProgram):
     """One rank's host, with the agent beside its engine."""
 
     COMMAND = (*PROGRAM, 'rank_agent')
@@ -209,7 +211,7 @@
     """One incarnation of an endpoint, behind its link."""
 
     worker: platform_worker.Worker
-    link: links.Link
+    link: links.LinkProxy
     service: str
     leaving_at: float | None = None
     troubled: list[float] = dataclasses.field(default_factory=list)
@@ -222,7 +224,7 @@
         return {**found, 'address': address}
 
 
-class System:
+class SystemUnderTest:
     """Everything that runs in one soak."""
 
     def __init__(
@@ -230,10 +232,10 @@
     ) -> None:
         self.rng = rng
         self.store = metadata_store.MetadataStore()
-        self.group = group_module.Group(size=GROUP_SIZE, rng=rng)
+        self.group = rank_group.RankGroup(size=GROUP_SIZE, rng=rng)
         self.endpoints: list[Endpoint] = []
         self.gone: list[Endpoint] = []
-        self._for_agents: list[group_module.RankWorker] = []
+        self._for_agents: list[rank_group.RankWorker] = []
         self.version = 0
         self.accepted_at = 0.0
         self.extra_routes: list[str] = []
@@ -243,7 +245,7 @@
         hosts = [f'{network}.{n + 1}' for n in range(gateways + GROUP_SIZE)]
         internal = free_ports.pair(hosts)
         self.gateways = [
-            Gateway(
+            GatewayProgram(
                 name=f'gateway-{n}',
                 host=host,
                 folder=folder,
@@ -252,7 +254,7 @@
             for n, host in enumerate(hosts[:gateways])
         ]
         self.rank_hosts = [
-            RankHost(
+            RankAgentProgram(
                 name=f'rank-host-{n}',
                 host=host,
                 folder=folder,
@@ -273,7 +275,9 @@
             await self._add_rank(rank, host)
         await self.change_plan()
         for gateway in self.gateways:
-            gateway.store = links.Link(host='127.0.0.1', port=self.store.port)
+            gateway.store = links.LinkProxy(
+                target_host='127.0.0.1', target_port=self.store.port
+            )
             await gateway.store.start()
             await gateway.front.start()
         for program in self.programs:
@@ -282,7 +286,7 @@
             self._spawn(program.keep_running())
 
     @property
-    def programs(self) -> list[Program]:
+    def programs(self) -> list[SupervisedProgram]:
         """All programs that run as processes."""
         return [*self.gateways, *self.rank_hosts]
 
@@ -317,13 +321,13 @@
         worker.script = sound
         return await self._list(worker, 'plain')
 
-    async def _add_rank(self, rank: int, host: RankHost) -> None:
-        worker = group_module.RankWorker(
+    async def _add_rank(self, rank: int, host: RankAgentProgram) -> None:
+        worker = rank_group.RankWorker(
             f'rank-{rank}', group=self.group, rank=rank
         )
         worker.script = sound
         await self._list(worker, 'model', host.host)
-        for_agent = group_module.RankWorker(
+        for_agent = rank_group.RankWorker(
             worker.name, group=self.group, rank=rank, fresh=True
         )
         await for_agent.start()
@@ -339,7 +343,9 @@
         worker.events = EVENTS
         worker.gap_s = EVENT_GAP_S
         await worker.start()
-        link = links.Link(host='127.0.0.1', port=worker.port, listen_host=host)
+        link = links.LinkProxy(
+            target_host='127.0.0.1', target_port=worker.port, listen_host=host
+        )
         await link.start()
         found = Endpoint(worker=worker, link=link, service=service)
         self.endpoints.append(found)
@@ -356,7 +362,7 @@
         self.endpoints.remove(endpoint)
         self.gone.append(endpoint)
         await endpoint.worker.stop()
-        endpoint.link.begin(links.Trouble.RESET)
+        endpoint.link.start_fault(links.LinkFault.RESET)
         await self.store.remove(endpoint_records.TOPIC, endpoint.worker.name)
 
     # -- the plan --------------------------------------------------------
@@ -378,7 +384,7 @@
         assert isinstance(services, list)
         services[1]['engine'] = {
             'sets': 1,
-            'experts': group_module.EXPERTS,
+            'experts': rank_group.EXPERTS,
             'placements': 4,
             'spare': 4,
         }
