--- a/tests/functional/test_plan_program.py
+++ b/tests/functional/test_plan_program.py
@@ -38,15 +38,17 @@
         rig = rigs.Rig()
         await rig.store.start()
         port = rig.store.port
-        await rig.configure(rigs.plan(3))
-        updated = rigs.plan(5)
+        await rig.write_plan(rigs.make_plan(3))
+        updated = rigs.make_plan(5)
         routes = updated['routes']
         assert isinstance(routes, list)
-        updated['routes'] = [*routes, rigs.route('/new/', 'safe')]
-        await rig.configure(updated)
+        updated['routes'] = [*routes, rigs.make_route('/new/', 'safe')]
+        await rig.write_plan(updated)
         worker = await rig.add_worker('w-1')
         await rig.store.put(
-            endpoint_records.TOPIC, 'w-1', worker.entry('plain', 'draining')
+            endpoint_records.TOPIC,
+            'w-1',
+            worker.store_record('plain', 'draining'),
         )
         status, out, _ = await run(port, 'status', '--json')
         assert status == exit_status.ExitStatus.OK
@@ -62,7 +64,7 @@
         status, out, _ = await run(port, 'explain', rigs.HOST, '/new/x')
         assert status == exit_status.ExitStatus.OK
         assert '/new/' in out
-        rig.store.drop_history(config.TOPIC)
+        rig.store.compact(config.TOPIC)
         status, out, _ = await run(port, 'audit', '--json')
         assert [r['version'] for r in json.loads(out)] == [5]
         await worker.stop()
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -69,19 +69,19 @@
             sent_at=time.monotonic(),
         )
         found.ended_at = found.sent_at
-        found.answer = guarantees.callers.gateway_rig.Answer(
+        found.answer = guarantees.callers.gateway_rig.Response(
             status=status,
-            headers={guarantees.platform_worker.SEAL.lower(): 's'},
+            headers={guarantees.platform_worker.SEAL_HEADER.lower(): 's'},
             body=body,
-            whole=whole,
+            complete=whole,
         )
         self.ledger.add(found)
         return found
 
     def arrived(self, attempt: str, at: float, **headers: str) -> None:
         """Note an arrival at the endpoint."""
-        named = {guarantees.platform_worker.ATTEMPT: attempt, **headers}
-        self.worker.arrivals.append(
+        named = {guarantees.platform_worker.ATTEMPT_HEADER: attempt, **headers}
+        self.worker.requests.append(
             http11.Request(
                 method='GET',
                 target='/',
@@ -123,14 +123,14 @@
             name='g',
             host='127.0.0.1',
             folder=tmp_path,
-            internal=free_ports.pair(['127.0.0.1']),
+            internal=free_ports.find_port_pair(['127.0.0.1']),
         )
         log = tmp_path / 'g-1.log'
         log.write_text('')
         found = system_under_test.ProgramProcess(
             gateway='g',
             process=process,
-            target=system_under_test.signals.Target(pid=process.pid),
+            target=system_under_test.signals.ProcessHandle(pid=process.pid),
             log=log,
         )
         gateway.incarnations.append(found)
--- a/tests/soak/guarantees.py
+++ b/tests/soak/guarantees.py
@@ -20,7 +20,8 @@
 PROMISE_NOT_RUN = frozenset({408, 421, 429, 503})
 
 EVENTS = tuple(
-    platform_worker.event(n) for n in range(1, system_under_test.EVENTS + 1)
+    platform_worker.event_bytes(n)
+    for n in range(1, system_under_test.EVENTS + 1)
 )
 
 
@@ -64,8 +65,8 @@
 
     def _arrivals(self, endpoint: system_under_test.Endpoint) -> None:
         name = endpoint.worker.name
-        for request in endpoint.worker.arrivals:
-            attempt = request.headers.get(platform_worker.ATTEMPT, '')
+        for request in endpoint.worker.requests:
+            attempt = request.headers.get(platform_worker.ATTEMPT_HEADER, '')
             asked = self._ledger.asked.get(attempt)
             if asked is None:
                 self._tell(f'{name} got {attempt!r}, which nobody sent')
@@ -114,25 +115,25 @@
             self._success(asked)
         elif answer.status in (400, 401, 403, 404, 413, 431):
             self._tell(f'{asked.attempt} was told {answer.status}')
-        elif not answer.whole:
+        elif not answer.complete:
             self._cut(asked)
 
     def _success(self, asked: soak_history.RequestRecord) -> None:
         answer = asked.answer
         assert answer is not None
-        if platform_worker.SEAL.lower() not in answer.headers:
+        if platform_worker.SEAL_HEADER.lower() not in answer.headers:
             self._tell(f'{asked.attempt}: a success without a signature')
         if asked.path in soak_history.STREAMS:
             whole = b''.join(EVENTS)
-            if answer.whole and answer.body != whole:
+            if answer.complete and answer.body != whole:
                 self._tell(f'{asked.attempt}: events {answer.body!r}')
             if not whole.startswith(answer.body):
                 self._tell(f'{asked.attempt}: out of order {answer.body!r}')
-        elif answer.whole:
+        elif answer.complete:
             expected = b'answer to ' + asked.attempt.encode()
             if answer.body != expected:
                 self._tell(f'{asked.attempt} got {answer.body!r}')
-        if not answer.whole:
+        if not answer.complete:
             self._cut(asked)
 
     def _cut(self, asked: soak_history.RequestRecord) -> None:
--- a/tests/soak/main.py
+++ b/tests/soak/main.py
@@ -101,7 +101,7 @@
         seed=seed,
         requests=sum(not a.attempt.startswith('probe-') for a in asked),
         served=sum(a.served for a in asked),
-        switched=system.group.simulation.switched,
+        switched=system.group.simulation.rank_switch_count,
         broken=broken,
         faults=struck.told,
         folder=str(folder),
--- a/tests/soak/rank_group.py
+++ b/tests/soak/rank_group.py
@@ -37,7 +37,7 @@
 }
 
 NO_LEADERS = dataclasses.replace(
-    simulated_ranks.NO_FAULTS, leader_start=0, idle=0.3
+    simulated_ranks.NO_FAULTS, leader_starts_per_s=0, idle_fraction=0.3
 )
 
 CALM = (0.0, 0.0)
@@ -84,8 +84,8 @@
 
     def crash(self) -> None:
         """Lose a rank: the group forms anew in a later epoch."""
-        if self.simulation.open:
-            self.simulation.crash()
+        if self.simulation.is_open:
+            self.simulation.crash_rank()
 
     def stop(self) -> None:
         """Carry out no late order any more."""
@@ -188,7 +188,7 @@
                 status = await self._group.order(self._rank, message)
                 if status is None:
                     await asyncio.Event().wait()
-                await exchange.answer(status or 0)
+                await exchange.respond(status or 0)
             case _:
                 await super()._handle(exchange)
 
@@ -197,9 +197,9 @@
     exchange: http11.Exchange, body: dict[str, object] | None
 ) -> None:
     if body is None:
-        await exchange.answer(503)
+        await exchange.respond(503)
         return
-    await exchange.answer(200, {}, json.dumps(body).encode())
+    await exchange.respond(200, {}, json.dumps(body).encode())
 
 
 def _frozen(value: typing.Any) -> typing.Any:
--- a/tests/soak/system_under_test.py
+++ b/tests/soak/system_under_test.py
@@ -43,7 +43,7 @@
 
     gateway: str
     process: asyncio.subprocess.Process
-    target: signals.Target
+    target: signals.ProcessHandle
     log: pathlib.Path
     asked_to_end: bool = False
     killed: bool = False
@@ -96,7 +96,7 @@
         found = ProgramProcess(
             gateway=self.name,
             process=process,
-            target=signals.Target(pid=process.pid),
+            target=signals.ProcessHandle(pid=process.pid),
             log=log,
         )
         self.incarnations.append(found)
@@ -131,7 +131,7 @@
             found.killed = True
         if number is signal.SIGHUP:
             pid = found.process.pid
-            found.reloaded_early |= not signals.heeded(pid, number)
+            found.reloaded_early |= not signals.is_handled(pid, number)
         if number in (signal.SIGSTOP, signal.SIGCONT):
             found.paused = number is signal.SIGSTOP
         found.target.send(number)
@@ -147,7 +147,7 @@
     ) -> None:
         super().__init__(name=name, host=host, folder=folder)
         self.internal = internal
-        self.callers, self.health = free_ports.distinct(host, 2)
+        self.callers, self.health = free_ports.find_ports(host, 2)
         self.front = links.LinkProxy(
             target_host=host, target_port=self.callers
         )
@@ -176,7 +176,7 @@
                     self.host, self.health
                 )
                 writer.write(b'GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n')
-                answer = await gateway_rig.read_answer(reader)
+                answer = await gateway_rig.read_response(reader)
                 writer.close()
         except (OSError, TimeoutError):
             return False
@@ -219,7 +219,7 @@
     def entry(self) -> dict[str, object]:
         """Return its entry in the store."""
         state = 'ready' if self.leaving_at is None else 'draining'
-        found = self.worker.entry(self.service, state)
+        found = self.worker.store_record(self.service, state)
         address = f'{self.link.listen_host}:{self.link.port}'
         return {**found, 'address': address}
 
@@ -243,7 +243,7 @@
         fresh = random.SystemRandom()
         network = f'127.{fresh.randrange(20, 250)}.{fresh.randrange(250)}'
         hosts = [f'{network}.{n + 1}' for n in range(gateways + GROUP_SIZE)]
-        internal = free_ports.pair(hosts)
+        internal = free_ports.find_port_pair(hosts)
         self.gateways = [
             GatewayProgram(
                 name=f'gateway-{n}',
@@ -340,8 +340,8 @@
         service: str,
         host: str = '127.0.0.1',
     ) -> Endpoint:
-        worker.events = EVENTS
-        worker.gap_s = EVENT_GAP_S
+        worker.event_count = EVENTS
+        worker.event_interval_s = EVENT_GAP_S
         await worker.start()
         link = links.LinkProxy(
             target_host='127.0.0.1', target_port=worker.port, listen_host=host
@@ -375,10 +375,10 @@
     async def change_plan(self) -> None:
         """Write a newer plan, with a path that only it has."""
         self.version += self.rng.randrange(1, 4)
-        found = gateway_rig.plan(self.version)
+        found = gateway_rig.make_plan(self.version)
         routes = found['routes']
         assert isinstance(routes, list)
-        probe = gateway_rig.route(self.probe_path, 'safe')
+        probe = gateway_rig.make_route(self.probe_path, 'safe')
         found['routes'] = [*routes, {**probe, 'allow_anonymous': True}]
         services = found['services']
         assert isinstance(services, list)
@@ -396,12 +396,12 @@
     worker: platform_worker.Worker, exchange: http11.Exchange
 ) -> None:
     """Work a while; the answer names its request."""
-    attempt = exchange.request.headers.get(platform_worker.ATTEMPT, '')
+    attempt = exchange.request.headers.get(platform_worker.ATTEMPT_HEADER, '')
     target = exchange.request.target
     if target.startswith(('/stream/', '/song/', '/model/')):
-        await platform_worker.stream(worker, exchange)
+        await platform_worker.stream_events(worker, exchange)
         return
-    worker.ran(exchange)
+    worker.record_execution(exchange)
     await asyncio.sleep(WORK_S)
-    headers = worker.headers(exchange)
-    await exchange.answer(200, headers, b'answer to ' + attempt.encode())
+    headers = worker.response_headers(exchange)
+    await exchange.respond(200, headers, b'answer to ' + attempt.encode())
