--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the true kernels, each beside its baseline."""
+"""Benchmarks of the decision logic and of real processes."""
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's own costs, without sockets: logs, choices, map plans."""
+"""CPU time of the gateway's logging, routing and map planning."""
 
 import datetime
 import random
@@ -20,11 +20,11 @@
 
 PLUGINS = (descent, greedy, routing)
 
-LINES = 20_000
-LINES_A_REQUEST = 2
-"""An attempt and its end; each further attempt adds two."""
+LINE_COUNT = 20_000
+LINES_PER_REQUEST = 2
+"""The start and end of an attempt; each retry adds two."""
 
-CHOICES = 2_000
+CHOICE_COUNT = 2_000
 EPOCH = datetime.datetime(1970, 1, 1, tzinfo=datetime.timezone.utc)
 PRICE = fleet.MapPrice(skew=1.0, moved_weights=5.0, skew_bound=1.1)
 SHAPES = (
@@ -38,12 +38,12 @@
         ranks=128, experts=256, slots_per_rank=3, max_new_experts=2
     ),
 )
-DEMANDS = 5
+DEMAND_COUNT = 5
 
 
-@report.measure('gateway-logs')
+@report.benchmark('gateway-logs')
 def logs(seed: int) -> list[report.Row]:
-    """Processor time of one line, written, and left out."""
+    """CPU time of a log line that is written, and of one that is dropped."""
     rows = []
     for variant, tick in (('written', 1.0), ('left out', 0.0)):
         now = [0.0]
@@ -51,8 +51,8 @@
             write=len, monotonic=lambda now=now: now[0]
         )
         eliot.add_destinations(destination)
-        before = time.process_time()
-        for number in range(LINES):
+        started_at = time.process_time()
+        for number in range(LINE_COUNT):
             now[0] += tick
             events.emit(
                 events.Event.CALL_FINISHED,
@@ -64,26 +64,26 @@
                 plan=7,
                 status=200,
             )
-        taken = time.process_time() - before
+        elapsed = time.process_time() - started_at
         eliot.remove_destination(destination)
         rows.append(
             report.Row(
                 figure='us a log line',
                 variant=variant,
-                value=taken / LINES * 1e6,
+                value=elapsed / LINE_COUNT * 1e6,
             )
         )
     return rows
 
 
-@report.measure('gateway-choice')
+@report.benchmark('gateway-choice')
 def choice(seed: int) -> list[report.Row]:
-    """Processor time of choosing among all endpoints of a service."""
+    """CPU time of choosing among all endpoints of a service."""
     rows = []
     for count in (16, 72, 750):
-        known = directory.Directory()
+        endpoints = directory.Directory()
         for number in range(count):
-            known.update_listing(
+            endpoints.update_listing(
                 directory.Listing(
                     name=f'w-{number}',
                     service='s',
@@ -94,56 +94,64 @@
                     draining=False,
                 )
             )
-        chooser: policy.RoutingPolicy = registry.create(
+        routing_policy: policy.RoutingPolicy = registry.create(
             policy.KIND, 'least-loaded', zone='z-0', rng=random.Random(seed)
         )
-        before = time.process_time()
-        for _ in range(CHOICES):
-            chooser.choose(known.routable('s', EPOCH), '', True)
-        taken = time.process_time() - before
+        started_at = time.process_time()
+        for _ in range(CHOICE_COUNT):
+            routing_policy.choose(endpoints.routable('s', EPOCH), '', True)
+        elapsed = time.process_time() - started_at
         rows.append(
             report.Row(
                 figure='us a choice',
                 variant=f'{count} endpoints',
-                value=taken / CHOICES * 1e6,
+                value=elapsed / CHOICE_COUNT * 1e6,
             )
         )
     return rows
 
 
-@report.measure('gateway-maps')
+@report.benchmark('gateway-maps')
 def maps(seed: int) -> list[report.Row]:
-    """One bounded change from the first map, over several demands."""
+    """One bounded change of the first map, for several random loads."""
     rows = []
     for shape in SHAPES:
         for name in ('descent', 'greedy'):
-            rows += _changes(seed, shape, name)
+            rows += _plan_changes(seed, shape, name)
     return rows
 
 
-def _changes(
+def _plan_changes(
     seed: int, shape: planner.MapShape, name: str
 ) -> list[report.Row]:
-    planning: planner.MapPlanner = registry.create(planner.KIND, name)
-    # The first map leaves places free, which 'greedy' never fills.
-    first = [
+    map_planner: planner.MapPlanner = registry.create(planner.KIND, name)
+    # The first map leaves slots free, which 'greedy' never fills.
+    first_map = [
         list(range(rank, shape.experts, shape.ranks))
         for rank in range(shape.ranks)
     ]
-    skew = moved = 0.0
-    before = time.process_time()
-    for number in range(DEMANDS):
+    total_skew = total_moved = 0.0
+    started_at = time.process_time()
+    for number in range(DEMAND_COUNT):
         load = [1 / (i + 1) ** 1.1 for i in range(shape.experts)]
         random.Random(seed + number).shuffle(load)
-        plan = planning.plan(shape, load, first, PRICE)
-        skew += planner.skew(plan, load)
-        moved += planner.moved_weights(first, plan)
-    taken = time.process_time() - before
+        plan = map_planner.plan(shape, load, first_map, PRICE)
+        total_skew += planner.skew(plan, load)
+        total_moved += planner.moved_weights(first_map, plan)
+    elapsed = time.process_time() - started_at
     label = f'{shape.ranks}x{shape.experts} {name}'
     return [
-        report.Row(figure='skew', variant=label, value=skew / DEMANDS),
-        report.Row(figure='new experts', variant=label, value=moved / DEMANDS),
         report.Row(
-            figure='ms a set', variant=label, value=taken / DEMANDS * 1e3
+            figure='skew', variant=label, value=total_skew / DEMAND_COUNT
+        ),
+        report.Row(
+            figure='new experts',
+            variant=label,
+            value=total_moved / DEMAND_COUNT,
+        ),
+        report.Row(
+            figure='ms a set',
+            variant=label,
+            value=elapsed / DEMAND_COUNT * 1e3,
         ),
     ]
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,107 +1,120 @@
-"""Admission, routing, retries and limits under load."""
+"""Admission, routing, retries and rate limits in the load model."""
 
 import bisect
 
 from bench import model as model_module
 from bench import report
 
-SECONDS = 20
-WARM_MS = 3000
-INTERACTIVE_MS = 20.0
-GENERATION_MS = 400.0
-INTERACTIVE_SHARE = 0.1
-GENERATION_SHARE = 0.3
+DURATION_S = 20
+WARM_UP_MS = 3000
+INTERACTIVE_WORK_MS = 20.0
+GENERATION_WORK_MS = 400.0
+INTERACTIVE_LOAD_FRACTION = 0.1
+GENERATION_LOAD_FRACTION = 0.3
 
 
-def _surge(seed: int, policy: str, factor: float) -> list[float]:
-    """Return interactive latencies with ``factor`` times generation."""
-    model = model_module.Model(seed=seed, policies={'admission': policy})
-    until = SECONDS * 1000
+def _surge_latencies(seed: int, policy: str, factor: float) -> list[float]:
+    """Return interactive latencies in ms.
+
+    The rate of generation calls is ``factor`` times its normal value.
+    """
+    model = model_module.LoadModel(seed=seed, policies={'admission': policy})
+    until_ms = DURATION_S * 1000
     rng = model.sim.rng
     slots_ms = model.capacity * 1000
 
     def interactive() -> None:
         entry = rng.randrange(len(model.entries))
-        model.send(entry, 'interactive', INTERACTIVE_MS, deadline_ms=2000)
+        model.send(entry, 'interactive', INTERACTIVE_WORK_MS, deadline_ms=2000)
 
     def generation() -> None:
         entry = rng.randrange(len(model.entries))
-        work = GENERATION_MS * (0.5 + rng.random())
-        model.send(entry, 'generation', work, deadline_ms=20_000)
+        work_ms = GENERATION_WORK_MS * (0.5 + rng.random())
+        model.send(entry, 'generation', work_ms, deadline_ms=20_000)
 
-    model.poisson(
-        slots_ms * INTERACTIVE_SHARE / INTERACTIVE_MS, until, interactive
+    model.schedule_poisson(
+        slots_ms * INTERACTIVE_LOAD_FRACTION / INTERACTIVE_WORK_MS,
+        until_ms,
+        interactive,
     )
     if factor:
-        rate = slots_ms * GENERATION_SHARE / GENERATION_MS * factor
-        model.poisson(rate, until, generation)
-    model.sim.run(until + 20_000)
+        rate = (
+            slots_ms * GENERATION_LOAD_FRACTION / GENERATION_WORK_MS * factor
+        )
+        model.schedule_poisson(rate, until_ms, generation)
+    model.sim.run(until_ms + 20_000)
     return [
-        d.taken_ms
-        for d in model.done
+        d.latency_ms
+        for d in model.completed
         if d.priority == 'interactive'
-        and d.sent_ms > WARM_MS
+        and d.sent_ms > WARM_UP_MS
         and d.failure is None
     ]
 
 
-@report.measure('surge')
+@report.benchmark('surge')
 def surge(seed: int) -> list[report.Row]:
-    """Interactive latency while heavy generation surges tenfold."""
-    idle = model_module.quantile(_surge(seed, 'lanes', 1.0), 0.99)
+    """Interactive latency while generation load rises tenfold."""
+    baseline = model_module.quantile(
+        _surge_latencies(seed, 'lanes', 1.0), 0.99
+    )
     rows = []
     for policy in ('lanes', 'open'):
-        surged = model_module.quantile(_surge(seed, policy, 10.0), 0.99)
+        surged = model_module.quantile(
+            _surge_latencies(seed, policy, 10.0), 0.99
+        )
         rows.append(
             report.Row(
                 figure='interactive p99, surge / idle',
                 variant=policy,
-                value=surged / idle,
+                value=surged / baseline,
                 aim='<= 1.2',
-                met=surged / idle <= 1.2,
+                met=surged / baseline <= 1.2,
             )
         )
     return rows
 
 
-def _overload(seed: int, policy: str) -> tuple[float, float]:
-    """Return goodput over capacity, and the p99 time of a refusal."""
-    model = model_module.Model(seed=seed, policies={'admission': policy})
-    until = SECONDS * 1000
+def _simulate_overload(seed: int, policy: str) -> tuple[float, float]:
+    """Return goodput / capacity, and the p99 time to a refusal in ms."""
+    model = model_module.LoadModel(seed=seed, policies={'admission': policy})
+    until_ms = DURATION_S * 1000
     rng = model.sim.rng
-    work = 200.0
-    deadline = 1000.0
-    capacity = model.capacity * 1000 / work
+    work_ms = 200.0
+    deadline_ms = 1000.0
+    capacity = model.capacity * 1000 / work_ms
 
     def send() -> None:
         entry = rng.randrange(len(model.entries))
-        model.send(entry, 'generation', work, deadline_ms=deadline)
+        model.send(entry, 'generation', work_ms, deadline_ms=deadline_ms)
 
-    model.poisson(capacity * 3, until, send)
-    model.sim.run(until + 5000)
-    useful = [
+    model.schedule_poisson(capacity * 3, until_ms, send)
+    model.sim.run(until_ms + 5000)
+    in_time = [
         d
-        for d in model.done
-        if d.failure is None and d.sent_ms > WARM_MS and d.taken_ms <= deadline
+        for d in model.completed
+        if d.failure is None
+        and d.sent_ms > WARM_UP_MS
+        and d.latency_ms <= deadline_ms
     ]
     refused = [
-        d.taken_ms
-        for d in model.done
-        if d.failure is not None and d.sent_ms > WARM_MS
+        d.latency_ms
+        for d in model.completed
+        if d.failure is not None and d.sent_ms > WARM_UP_MS
     ]
-    seconds = (until - WARM_MS) / 1000
+    seconds = (until_ms - WARM_UP_MS) / 1000
     return (
-        len(useful) / seconds / capacity,
+        len(in_time) / seconds / capacity,
         model_module.quantile(refused, 0.99),
     )
 
 
-@report.measure('overload')
+@report.benchmark('overload')
 def overload(seed: int) -> list[report.Row]:
-    """Useful answers and refusals at three times the capacity."""
+    """Answers in time, and refusals, at three times the capacity."""
     rows = []
     for policy in ('lanes', 'open'):
-        goodput, refusal = _overload(seed, policy)
+        goodput, refusal = _simulate_overload(seed, policy)
         rows.append(
             report.Row(
                 figure='useful answers / capacity at 3x load',
@@ -123,34 +136,36 @@
     return rows
 
 
-def _brown_out(seed: int, policy: str) -> tuple[float, float]:
-    """Return attempts per request, and the share answered."""
-    model = model_module.Model(
+def _simulate_brown_out(seed: int, policy: str) -> tuple[float, float]:
+    """Return attempts per request, and the fraction that succeeds."""
+    model = model_module.LoadModel(
         seed=seed, policies={'retry': policy, 'admission': 'open'}
     )
     for endpoint in model.endpoints.values():
-        endpoint.failing = 0.6
-    until = SECONDS * 1000
+        endpoint.failure_probability = 0.6
+    until_ms = DURATION_S * 1000
     rng = model.sim.rng
     rate = model.capacity * 1000 / 50.0 * 0.3
-    model.poisson(
+    model.schedule_poisson(
         rate,
-        until,
+        until_ms,
         lambda: model.send(
             rng.randrange(len(model.entries)), 'interactive', 50.0
         ),
     )
-    model.sim.run(until + 5000)
-    whole = sum(d.failure is None for d in model.done)
-    return model.attempts / len(model.done), whole / len(model.done)
+    model.sim.run(until_ms + 5000)
+    succeeded = sum(d.failure is None for d in model.completed)
+    return model.attempts / len(model.completed), succeeded / len(
+        model.completed
+    )
 
 
-@report.measure('brown-out')
+@report.benchmark('brown-out')
 def brown_out(seed: int) -> list[report.Row]:
     """Retry amplification while 60 % of attempts fail."""
     rows = []
     for policy in ('budget', 'naive'):
-        attempts, _ = _brown_out(seed, policy)
+        attempts, _ = _simulate_brown_out(seed, policy)
         rows.append(
             report.Row(
                 figure='attempts / requests in a brown-out',
@@ -163,38 +178,42 @@
     return rows
 
 
-def _routing(seed: int, policy: str, load: float) -> list[float]:
-    """Return the latencies of calls of uneven size."""
-    model = model_module.Model(
+def _routing_latencies(seed: int, policy: str, load: float) -> list[float]:
+    """Return the latencies, in ms, of calls with uneven work."""
+    model = model_module.LoadModel(
         seed=seed,
         endpoints=12,
         policies={'routing': policy, 'admission': 'open'},
     )
-    until = SECONDS * 1000
+    until_ms = DURATION_S * 1000
     rng = model.sim.rng
-    mean = 100.0
-    rate = model.capacity * 1000 / mean * load
-    model.poisson(
+    mean_work_ms = 100.0
+    rate = model.capacity * 1000 / mean_work_ms * load
+    model.schedule_poisson(
         rate,
-        until,
+        until_ms,
         lambda: model.send(
             rng.randrange(len(model.entries)),
             'generation',
-            rng.expovariate(1 / mean),
+            rng.expovariate(1 / mean_work_ms),
             deadline_ms=60_000,
         ),
     )
-    model.sim.run(until + 30_000)
-    return [d.taken_ms for d in model.done if d.sent_ms > WARM_MS]
+    model.sim.run(until_ms + 30_000)
+    return [d.latency_ms for d in model.completed if d.sent_ms > WARM_UP_MS]
 
 
-@report.measure('routing')
+@report.benchmark('routing')
 def routing(seed: int) -> list[report.Row]:
-    """Latency at 80 % load over that at 5 % load, by policy."""
+    """Latency at 80 % load relative to 5 % load, per policy."""
     rows = []
     for policy in ('two-choices', 'round-robin', 'random'):
-        light = model_module.quantile(_routing(seed, policy, 0.05), 0.95)
-        heavy = model_module.quantile(_routing(seed, policy, 0.8), 0.95)
+        light = model_module.quantile(
+            _routing_latencies(seed, policy, 0.05), 0.95
+        )
+        heavy = model_module.quantile(
+            _routing_latencies(seed, policy, 0.8), 0.95
+        )
         rows.append(
             report.Row(
                 figure='p95 at 80 % load / unloaded',
@@ -207,65 +226,75 @@
     return rows
 
 
-LIMIT = 200.0
+LIMIT_PER_SECOND = 200.0
+
 
+def _admission_times(seed: int, skewed: bool, demand: float) -> list[float]:
+    """Return the sorted times, in ms, at which 8 entries admitted calls.
 
-def _limited(seed: int, skewed: bool, demand: float) -> list[float]:
-    """Return when calls were admitted under a limit, at 8 entries."""
+    ``demand`` is relative to the rate limit.
+    """
     limited = model_module.organisation(
-        'org-0', requests_per_second=LIMIT, burst=LIMIT / 10
+        'org-0',
+        requests_per_second=LIMIT_PER_SECOND,
+        burst=LIMIT_PER_SECOND / 10,
     )
-    model = model_module.Model(
+    model = model_module.LoadModel(
         seed=seed,
         entries=8,
         organisations=[limited],
         policies={'admission': 'open'},
     )
-    until = SECONDS * 1000
+    until_ms = DURATION_S * 1000
     rng = model.sim.rng
     weights = [8, 1, 1, 1, 1, 1, 1, 1] if skewed else [1] * 8
-    model.poisson(
-        LIMIT * demand,
-        until,
+    model.schedule_poisson(
+        LIMIT_PER_SECOND * demand,
+        until_ms,
         lambda: model.send(
             rng.choices(range(8), weights)[0], 'interactive', 5.0
         ),
     )
-    model.sim.run(until + 1000)
-    return sorted(d.sent_ms for d in model.done if d.failure is None)
+    model.sim.run(until_ms + 1000)
+    return sorted(d.sent_ms for d in model.completed if d.failure is None)
 
 
-def _busiest_second(times: list[float]) -> int:
-    """Return the most calls within any second."""
+def _busiest_second(times_ms: list[float]) -> int:
+    """Return the most calls in any window of one second."""
     return max(
-        bisect.bisect_left(times, start + 1000) - number
-        for number, start in enumerate(times)
+        bisect.bisect_left(times_ms, start + 1000) - number
+        for number, start in enumerate(times_ms)
     )
 
 
-@report.measure('limits')
+@report.benchmark('limits')
 def limits(seed: int) -> list[report.Row]:
-    """Overshoot of a rate limit over 8 entries, and what is left unused."""
+    """Overshoot of a rate limit shared by 8 entries, and its use."""
     rows = []
     for name, skewed in (('even demand', False), ('8:1 demand', True)):
-        over = _busiest_second(_limited(seed, skewed, 3.0)) / LIMIT
+        overshoot = (
+            _busiest_second(_admission_times(seed, skewed, 3.0))
+            / LIMIT_PER_SECOND
+        )
         rows.append(
             report.Row(
                 figure='busiest second / limit, 8 entries',
                 variant=name,
-                value=over,
+                value=overshoot,
                 aim='<= 1.1',
-                met=over <= 1.1,
+                met=overshoot <= 1.1,
             )
         )
-        used = len(_limited(seed, skewed, 1.5)) / (LIMIT * SECONDS)
+        used_fraction = len(_admission_times(seed, skewed, 1.5)) / (
+            LIMIT_PER_SECOND * DURATION_S
+        )
         rows.append(
             report.Row(
                 figure='limit used at 1.5x demand, 8 entries',
                 variant=name,
-                value=used,
+                value=used_fraction,
                 aim='>= 0.95',
-                met=used >= 0.95,
+                met=used_fraction >= 0.95,
             )
         )
     return rows
--- a/bench/main.py
+++ b/bench/main.py
@@ -1,4 +1,4 @@
-"""``make bench``: prints every measurement beside its baseline."""
+"""``make bench``: runs the benchmarks and prints their figures."""
 
 import dataclasses
 import json
@@ -15,30 +15,34 @@
 from bench import scale
 
 MODULES = (load, maps, scale, recovery, gateway, entry_edge)
-"""Importing these modules registered their measurements."""
+"""Importing these modules registers their benchmarks."""
 
 
 def main(
     *names: str, seed: int = 1, as_json: bool = False, quick: bool = False
 ) -> None:
-    """Run the measurements NAMES, or all of them.
+    """Run the benchmarks NAMES, or all of them.
 
-    --quick leaves out those that start real processes.
+    --quick skips those that start real processes.
     """
-    chosen = names or tuple(report.MEASURES)
+    selected = names or tuple(report.BENCHMARKS)
     if quick:
-        chosen = tuple(n for n in chosen if n not in entry_edge.REAL)
-    unknown = [name for name in chosen if name not in report.MEASURES]
+        selected = tuple(
+            n for n in selected if n not in entry_edge.PROCESS_BENCHMARKS
+        )
+    unknown = [name for name in selected if name not in report.BENCHMARKS]
     if unknown:
-        sys.exit(f'no measurement {unknown}; use {list(report.MEASURES)}')
-    found = []
-    for name in chosen:
-        for row in report.MEASURES[name](seed):
-            found.append({'measure': name, **dataclasses.asdict(row)})
+        sys.exit(
+            f'unknown benchmarks {unknown}; known: {list(report.BENCHMARKS)}'
+        )
+    results = []
+    for name in selected:
+        for row in report.BENCHMARKS[name](seed):
+            results.append({'measure': name, **dataclasses.asdict(row)})
             if not as_json:
-                print(report.line(row), flush=True)
+                print(report.format_row(row), flush=True)
     if as_json:
-        print(json.dumps(found, indent=2))
+        print(json.dumps(results, indent=2))
 
 
 if __name__ == '__main__':
--- a/bench/maps.py
+++ b/bench/maps.py
@@ -1,4 +1,4 @@
-"""Expert maps: skew against moved weights, over drifting popularity."""
+"""Expert maps: load skew and moved weights as expert load drifts."""
 
 import random
 
@@ -10,9 +10,9 @@
 from aspenfold._internal.models import fleet
 
 PLUGINS = (sticky,)
-ROUNDS = 40
-SURGES = (12, 24)
-DRIFT = 0.15
+ROUND_COUNT = 40
+SURGE_ROUNDS = (12, 24)
+DRIFT_SIGMA = 0.15
 SURGE_FACTOR = 4.0
 PRICES = {
     'partitions': fleet.MapPrice(skew_bound=1.08, skew=1, moved_weights=4),
@@ -25,50 +25,50 @@
 )
 
 
-def popularity(seed: int, experts: int) -> list[list[float]]:
-    """Return the load by expert in each round: drift, and two surges."""
+def load_rounds(seed: int, experts: int) -> list[list[float]]:
+    """Return the load of each expert per round: a random walk with surges."""
     rng = random.Random(seed)
     load = [1 / (rank + 1) ** 0.7 for rank in range(experts)]
     rng.shuffle(load)
     rounds = []
-    for number in range(ROUNDS):
-        load = [x * rng.lognormvariate(0, DRIFT) for x in load]
-        if number in SURGES:
+    for number in range(ROUND_COUNT):
+        load = [x * rng.lognormvariate(0, DRIFT_SIGMA) for x in load]
+        if number in SURGE_ROUNDS:
             for expert in rng.sample(range(experts), experts // 20):
                 load[expert] *= SURGE_FACTOR
         rounds.append(load)
     return rounds
 
 
-def run(
+def simulate_planner(
     name: str, shape: planner.MapShape, price: fleet.MapPrice, seed: int
 ) -> tuple[float, int]:
-    """Return the mean skew after planning and the weights moved."""
-    policy: planner.MapPlanner = registry.create(planner.KIND, name)
-    rounds = popularity(seed, shape.experts)
+    """Return the mean skew after planning, and the weights moved in all."""
+    map_planner: planner.MapPlanner = registry.create(planner.KIND, name)
+    rounds = load_rounds(seed, shape.experts)
     current = planner.pack(shape, [1.0] * shape.experts)
-    skews, weights = [], 0
+    skews, moved_weights = [], 0
     for load in rounds:
-        plan = policy.plan(shape, load, current, price)
-        weights += planner.moved_weights(current, plan)
+        plan = map_planner.plan(shape, load, current, price)
+        moved_weights += planner.moved_weights(current, plan)
         current = plan
         skews.append(planner.skew(current, load))
-    return sum(skews) / len(skews), weights
+    return sum(skews) / len(skews), moved_weights
 
 
-@report.measure('maps')
+@report.benchmark('maps')
 def maps(seed: int) -> list[report.Row]:
-    """Mean skew, and weights moved over those of full replanning."""
+    """Mean skew, and moved weights relative to full replanning."""
     rows = []
     for shape in SHAPES:
         for deployment, price in PRICES.items():
-            _, full = run('full', shape, price, seed)
+            _, full_weights = simulate_planner('full', shape, price, seed)
             for name in ('priced', 'greedy', 'full', 'none'):
-                skew, weights = run(name, shape, price, seed)
-                place = f'{shape.ranks}x{shape.experts} {deployment}'
+                skew, weights = simulate_planner(name, shape, price, seed)
+                label = f'{shape.ranks}x{shape.experts} {deployment}'
                 rows.append(
                     report.Row(
-                        figure=f'step skew, {place}',
+                        figure=f'step skew, {label}',
                         variant=name,
                         value=skew,
                         aim='<= 1.08',
@@ -77,11 +77,11 @@
                 )
                 rows.append(
                     report.Row(
-                        figure=f'weights moved / full, {place}',
+                        figure=f'weights moved / full, {label}',
                         variant=name,
-                        value=weights / full,
+                        value=weights / full_weights,
                         aim='<= 0.2',
-                        met=weights / full <= 0.2,
+                        met=weights / full_weights <= 0.2,
                     )
                 )
     return rows
--- a/bench/model.py
+++ b/bench/model.py
@@ -1,8 +1,8 @@
-"""True entry and agent kernels before queueing endpoints.
+"""A load model: real entry and agent kernels, simulated endpoints.
 
-Only endpoints, network and callers are modelled: an endpoint serves
-``slots`` calls at a time, the most urgent first, as engines that honour
-priorities do.  Time is driven, so a run depends on its seed alone.
+Endpoints, network and callers are simulated.  An endpoint serves
+``slots`` calls at a time, those of the highest priority first, as engines
+that honour priorities do.  Time is virtual, so a run depends only on its seed.
 """
 
 import collections
@@ -33,36 +33,36 @@
 
 PLUGINS = (admission, retries, routing)
 ZONES = ('zone-a', 'zone-b', 'zone-c')
-REPORT_MS = 500
-NETWORK_MS = 1.0
-SERVICE = 'svc'
-URGENCY = {'interactive': 0, 'generation': 1, 'batch': 2}
+REPORT_INTERVAL_MS = 500
+NETWORK_DELAY_MS = 1.0
+SERVICE_NAME = 'svc'
+PRIORITY_ORDER = {'interactive': 0, 'generation': 1, 'batch': 2}
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Done:
-    """A caller's final answer."""
+class CompletedCall:
+    """A call that succeeded, or failed with ``failure``."""
 
     organisation: str
     priority: str
     sent_ms: float
-    taken_ms: float
+    latency_ms: float
     failure: exceptions.Failure | None
 
 
 class Endpoint:
-    """A queue before ``slots`` servers, and its agent's kernel."""
+    """A simulated endpoint with ``slots`` servers, and its agent's kernel."""
 
     def __init__(
-        self, *, model: 'Model', name: str, zone: str, slots: int
+        self, *, model: 'LoadModel', name: str, zone: str, slots: int
     ) -> None:
         self.model = model
         self.name = name
         self.zone = zone
         self.slots = slots
-        self.busy = 0
+        self.running = 0
         self.started = 0
-        self.failing = 0.0
+        self.failure_probability = 0.0
         self.kernel = agent_kernel.AgentKernel(
             incarnation=f'{name}-1', capacity=slots, answer_memory=1 << 16
         )
@@ -74,10 +74,10 @@
         self,
         stream_id: int,
         request: frames.AttemptRequest,
-        answer: abc.Callable[[frames.Frame], None],
+        on_frame: abc.Callable[[frames.Frame], None],
     ) -> None:
-        """Take an attempt; its frames go to ``answer``."""
-        self._streams[stream_id] = answer
+        """Execute an attempt and pass its frames to ``on_frame``."""
+        self._streams[stream_id] = on_frame
         self._apply(
             self.kernel.execute(stream_id, request, self.model.sim.now)
         )
@@ -90,23 +90,23 @@
                 case agent_actions.CloseAnswerStream(stream_id=stream_id):
                     del self._streams[stream_id]
                 case agent_actions.CallEndpoint(request=request):
-                    urgency = URGENCY[request.priority]
-                    entry = (urgency, next(self._order), request)
-                    heapq.heappush(self._queue, entry)
-                    self._serve()
+                    priority_order = PRIORITY_ORDER[request.priority]
+                    queued = (priority_order, next(self._order), request)
+                    heapq.heappush(self._queue, queued)
+                    self._start_queued()
 
-    def _serve(self) -> None:
-        while self._queue and self.busy < self.slots:
+    def _start_queued(self) -> None:
+        while self._queue and self.running < self.slots:
             _, _, request = heapq.heappop(self._queue)
-            self.busy += 1
+            self.running += 1
             self.started += 1
-            work = float(request.body)
-            self.model.sim.after(work, lambda r=request: self._end(r))
+            work_ms = float(request.body)
+            self.model.sim.after(work_ms, lambda r=request: self._finish(r))
 
-    def _end(self, request: frames.AttemptRequest) -> None:
-        self.busy -= 1
+    def _finish(self, request: frames.AttemptRequest) -> None:
+        self.running -= 1
         attempt = request.attempt_id
-        if self.model.sim.rng.random() < self.failing:
+        if self.model.sim.rng.random() < self.failure_probability:
             failure = exceptions.Failure(
                 code=exceptions.Code.ENDPOINT_LOST, detail='brown-out'
             )
@@ -117,11 +117,11 @@
             self._apply(self.kernel.on_endpoint_items(attempt, (b'x',)))
             now = self.model.sim.now
             self._apply(self.kernel.on_endpoint_ended(attempt, now))
-        self._serve()
+        self._start_queued()
 
 
-class Model:
-    """Entries, endpoints and the answers that callers got."""
+class LoadModel:
+    """Entries and endpoints under simulated load, and completed calls."""
 
     def __init__(
         self,
@@ -134,7 +134,7 @@
         organisations: list[dict[str, typing.Any]] | None = None,
     ) -> None:
         self.sim = sim_module.Simulation(seed=seed)
-        self.done: list[Done] = []
+        self.completed: list[CompletedCall] = []
         self.attempts = 0
         self._calls = itertools.count()
         self._pending: dict[str, call_module.Call] = {}
@@ -158,17 +158,17 @@
             )
             for number in range(entries)
         ]
-        document = _document(policies or {}, organisations)
-        listing = self._listing()
+        document = _fleet_document(policies or {}, organisations)
+        host_list = self._host_list()
         for entry in self.entries:
-            entry.on_fleet_page(_page(document))
-            entry.on_host_list(listing)
-        self.sim.every(REPORT_MS, self._report)
+            entry.on_fleet_page(_fleet_page(document))
+            entry.on_host_list(host_list)
+        self.sim.every(REPORT_INTERVAL_MS, self._send_reports)
         self.sim.every(10, self._tick)
 
     @property
     def capacity(self) -> int:
-        """How many calls all endpoints run at once."""
+        """The number of calls that all endpoints can run at once."""
         return sum(e.slots for e in self.endpoints.values())
 
     def send(
@@ -181,12 +181,12 @@
         deadline_ms: float = 5000,
         streamed: bool = False,
     ) -> None:
-        """Send a call that keeps an endpoint's slot for ``work_ms``."""
+        """Submit a call that occupies a slot for ``work_ms`` milliseconds."""
         now = self.sim.now
         call = call_module.Call(
             call_id=f'call-{next(self._calls)}',
             organisation=organisation,
-            service=SERVICE,
+            service=SERVICE_NAME,
             operation='run',
             priority=fleet.Priority(priority),
             repeatable=True,
@@ -199,21 +199,21 @@
         kernel = self.entries[entry]
         self._apply(kernel, kernel.submit(call, now))
 
-    def poisson(
+    def schedule_poisson(
         self,
         rate_per_s: float,
         until_ms: float,
         send: abc.Callable[[], None],
     ) -> None:
-        """Call ``send`` at random moments until ``until_ms``."""
+        """Schedule ``send`` as a Poisson process until ``until_ms``."""
 
-        def again() -> None:
+        def repeat() -> None:
             if self.sim.ms >= until_ms:
                 return
             send()
-            self.sim.after(self.sim.rng.expovariate(rate_per_s / 1000), again)
+            self.sim.after(self.sim.rng.expovariate(rate_per_s / 1000), repeat)
 
-        self.sim.after(self.sim.rng.expovariate(rate_per_s / 1000), again)
+        self.sim.after(self.sim.rng.expovariate(rate_per_s / 1000), repeat)
 
     def _apply(
         self,
@@ -223,13 +223,13 @@
         for action in result:
             match action:
                 case actions.OpenAnswerStream():
-                    self._open(kernel, action)
+                    self._open_stream(kernel, action)
                 case actions.Finish(call_id=call_id):
-                    self._ended(call_id, None)
+                    self._record_completion(call_id, None)
                 case actions.Fail(call_id=call_id, failure=failure):
-                    self._ended(call_id, failure)
+                    self._record_completion(call_id, failure)
 
-    def _open(
+    def _open_stream(
         self,
         kernel: entry_kernel.EntryKernel,
         action: actions.OpenAnswerStream,
@@ -237,9 +237,9 @@
         self.attempts += 1
         endpoint = self.endpoints[action.host.name]
 
-        def answer(frame: frames.Frame) -> None:
+        def on_frame(frame: frames.Frame) -> None:
             self.sim.after(
-                NETWORK_MS,
+                NETWORK_DELAY_MS,
                 lambda: self._apply(
                     kernel,
                     kernel.on_frame(action.stream_id, frame, self.sim.now),
@@ -248,20 +248,24 @@
 
         stream_id = self.attempts
         self.sim.after(
-            NETWORK_MS,
-            lambda: endpoint.execute(stream_id, action.request, answer),
+            NETWORK_DELAY_MS,
+            lambda: endpoint.execute(stream_id, action.request, on_frame),
         )
 
-    def _ended(self, call_id: str, failure: exceptions.Failure | None) -> None:
+    def _record_completion(
+        self, call_id: str, failure: exceptions.Failure | None
+    ) -> None:
         call = self._pending.pop(call_id)
-        sent = (call.received_at - sim_module.START) / sim_module.MILLISECOND
-        taken = (self.sim.now - call.received_at) / sim_module.MILLISECOND
-        self.done.append(
-            Done(
+        sent_ms = (
+            call.received_at - sim_module.START
+        ) / sim_module.MILLISECOND
+        latency_ms = (self.sim.now - call.received_at) / sim_module.MILLISECOND
+        self.completed.append(
+            CompletedCall(
                 organisation=call.organisation,
                 priority=call.priority.value,
-                sent_ms=sent,
-                taken_ms=taken,
+                sent_ms=sent_ms,
+                latency_ms=latency_ms,
                 failure=failure,
             )
         )
@@ -270,7 +274,7 @@
         for kernel in self.entries:
             self._apply(kernel, kernel.tick(self.sim.now))
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         for endpoint in self.endpoints.values():
             load = endpoint.kernel.load
             for kernel in self.entries:
@@ -281,18 +285,18 @@
                     self.sim.now,
                 )
 
-    def _listing(self) -> hosts.HostList:
-        listed = [
-            _host(e.name, e.zone, hosts.Role.ENDPOINT)
+    def _host_list(self) -> hosts.HostList:
+        host_records = [
+            _make_host(e.name, e.zone, hosts.Role.ENDPOINT)
             for e in self.endpoints.values()
         ]
-        listed += [
-            _host(k.name, k.zone, hosts.Role.ENTRY) for k in self.entries
+        host_records += [
+            _make_host(k.name, k.zone, hosts.Role.ENTRY) for k in self.entries
         ]
-        return hosts.HostList(version=1, hosts=listed)
+        return hosts.HostList(version=1, hosts=host_records)
 
 
-def _host(name: str, zone: str, role: hosts.Role) -> hosts.Host:
+def _make_host(name: str, zone: str, role: hosts.Role) -> hosts.Host:
     return hosts.Host.model_validate(
         {
             'name': name,
@@ -300,7 +304,7 @@
             'role': role,
             'address': '127.0.0.1',
             'port': 1,
-            'service': SERVICE if role is hosts.Role.ENDPOINT else '',
+            'service': SERVICE_NAME if role is hosts.Role.ENDPOINT else '',
         }
     )
 
@@ -308,7 +312,7 @@
 def organisation(
     name: str, weight: float = 1.0, **limits: float
 ) -> dict[str, typing.Any]:
-    """Return an organisation of a fleet document."""
+    """Return an organisation of a fleet document, unlimited by default."""
     return {
         'name': name,
         'weight': weight,
@@ -322,7 +326,7 @@
     }
 
 
-def _document(
+def _fleet_document(
     policies: dict[str, str],
     organisations: list[dict[str, typing.Any]] | None,
 ) -> patch.Document:
@@ -333,7 +337,7 @@
         'organisations': organisations or [organisation('org-0')],
         'services': [
             {
-                'name': SERVICE,
+                'name': SERVICE_NAME,
                 'kind': 'plain',
                 'operations': [{'name': 'run', 'path': '/run'}],
                 'workers': {ZONES[0]: 1},
@@ -345,7 +349,7 @@
     return fleet.Fleet.model_validate(data).model_dump(mode='json')
 
 
-def _page(document: patch.Document) -> reader.Page:
+def _fleet_page(document: patch.Document) -> reader.Page:
     record = records.ConfigChange(
         id='bench',
         author='bench',
@@ -362,16 +366,18 @@
     )
 
 
-def quantile(values: abc.Sequence[float], share: float) -> float:
-    """Return the value below which ``share`` of ``values`` lie."""
+def quantile(values: abc.Sequence[float], fraction: float) -> float:
+    """Return the quantile of ``values`` at ``fraction``; NaN if empty."""
     if not values:
         return float('nan')
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
+    return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
 
 
-def outcomes(done: abc.Iterable[Done]) -> collections.Counter[str]:
-    """Count answers by code, ``whole`` for none."""
+def count_outcomes(
+    completed: abc.Iterable[CompletedCall],
+) -> collections.Counter[str]:
+    """Return the number of calls per failure code; success is ``whole``."""
     return collections.Counter(
-        d.failure.code.name if d.failure else 'whole' for d in done
+        d.failure.code.name if d.failure else 'whole' for d in completed
     )
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,41 +1,41 @@
-"""How long a group stands still, on the true machines."""
+"""Outages of a simulated group that runs the real state machines."""
 
 import statistics
 
 from bench import report
 from tests.lib import simulated_group
 
-SEEDS = 20
+SEED_COUNT = 20
 LIMIT_MS = 20_000
 
 
-def _pause(seed: int, fault: str) -> float:
-    """Return the ms from the fault to the first step after it."""
-    world = simulated_group.SimulatedGroup(seed=seed)
-    world.set_plan(5)
-    world.sim.run(1500 + seed * 37)
+def _longest_pause(seed: int, fault: str) -> float:
+    """Return the longest time without a step after the fault, in ms."""
+    group = simulated_group.SimulatedGroup(seed=seed)
+    group.set_plan(5)
+    group.sim.run(1500 + seed * 37)
     if fault == 'agent of a rank restarted':
-        world.restart_agent(1)
+        group.restart_agent(1)
     elif fault == 'leader restarted':
-        world.restart_agent(0)
+        group.restart_agent(0)
     elif fault == 'rank replaced':
-        world.replace_rank(1)
+        group.replace_rank(1)
     elif fault == 'map changed':
-        world.set_plan(6)
-    began = world.sim.ms
-    longest = 0.0
-    last, last_ms = world.completed_steps, began
-    while world.sim.ms < began + LIMIT_MS // 4:
-        world.sim.run(5)
-        if world.completed_steps > last:
-            longest = max(longest, world.sim.ms - last_ms)
-            last, last_ms = world.completed_steps, world.sim.ms
-    return max(longest, world.sim.ms - last_ms)
+        group.set_plan(6)
+    fault_ms = group.sim.ms
+    longest_ms = 0.0
+    last_step, last_ms = group.completed_steps, fault_ms
+    while group.sim.ms < fault_ms + LIMIT_MS // 4:
+        group.sim.run(5)
+        if group.completed_steps > last_step:
+            longest_ms = max(longest_ms, group.sim.ms - last_ms)
+            last_step, last_ms = group.completed_steps, group.sim.ms
+    return max(longest_ms, group.sim.ms - last_ms)
 
 
-@report.measure('group-recovery')
+@report.benchmark('group-recovery')
 def group_recovery(seed: int) -> list[report.Row]:
-    """Longest stand-still of a group, median and worst of 20 seeds."""
+    """Longest pause of a group's steps, median and worst over the seeds."""
     rows = []
     for fault in (
         'none',
@@ -44,10 +44,12 @@
         'leader restarted',
         'rank replaced',
     ):
-        pauses = [_pause(seed + n, fault) for n in range(SEEDS)]
+        pauses_ms = [
+            _longest_pause(seed + n, fault) for n in range(SEED_COUNT)
+        ]
         for name, value in (
-            ('median', statistics.median(pauses)),
-            ('worst', max(pauses)),
+            ('median', statistics.median(pauses_ms)),
+            ('worst', max(pauses_ms)),
         ):
             rows.append(
                 report.Row(
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Registers measurements and prints their rows."""
+"""The registry of benchmarks, and the rows that they return."""
 
 from collections import abc
 import dataclasses
@@ -7,7 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Row:
-    """One figure of one variant; ``met`` is None where there is no aim."""
+    """The value of one figure for one variant.
+
+    ``aim`` is the target; ``met`` is None for a figure without one.
+    """
 
     figure: str
     variant: str
@@ -16,22 +19,22 @@
     met: bool | None = None
 
 
-Measure = abc.Callable[[int], list[Row]]
-MEASURES: dict[str, Measure] = {}
+Benchmark = abc.Callable[[int], list[Row]]
+BENCHMARKS: dict[str, Benchmark] = {}
 
 
-def measure(name: str) -> abc.Callable[[Measure], Measure]:
-    """Make a function available as the measurement ``name``."""
+def benchmark(name: str) -> abc.Callable[[Benchmark], Benchmark]:
+    """Return a decorator that registers a benchmark under ``name``."""
 
-    def add(function: Measure) -> Measure:
-        MEASURES[name] = function
+    def register(function: Benchmark) -> Benchmark:
+        BENCHMARKS[name] = function
         return function
 
-    return add
+    return register
 
 
-def line(row: Row) -> str:
-    """Return a row as a line of text."""
+def format_row(row: Row) -> str:
+    """Return a row as a line of text, with whether it met its aim."""
     verdict = {True: 'met', False: 'MISSED', None: ''}[row.met]
     value = 'n/a' if math.isnan(row.value) else f'{row.value:12.3f}'
     return (
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,4 +1,4 @@
-"""What decisions cost, and how that grows with the system's size."""
+"""CPU time and memory of decisions, and their growth with the fleet."""
 
 from collections import abc
 import gc
@@ -21,20 +21,20 @@
 from aspenfold._internal.models import records
 from aspenfold._internal.routing import subset
 
-CALLS = 2000
-TODAY = 19
-SIZES = (TODAY, 200, 2000, 12_000)
-ENTRIES = 410
-ZONES = 16
-ORGANISATIONS = 4600
+CALL_COUNT = 2000
+SMALL_FLEET_WORKERS = 19
+FLEET_SIZES = (SMALL_FLEET_WORKERS, 200, 2000, 12_000)
+ENTRY_COUNT = 410
+ZONE_COUNT = 16
+ORGANISATION_COUNT = 4600
 
 
-def _kernel(
+def _make_kernel(
     workers: int, entries: int, zones: int
 ) -> entry_kernel.EntryKernel:
-    model = model_module.Model(seed=1, entries=1, endpoints=1)
+    model = model_module.LoadModel(seed=1, entries=1, endpoints=1)
     kernel = model.entries[0]
-    listed = [
+    host_records = [
         hosts.Host.model_validate(
             {
                 'name': f'worker-{n}',
@@ -42,12 +42,12 @@
                 'role': 'endpoint',
                 'address': '127.0.0.1',
                 'port': 1,
-                'service': model_module.SERVICE,
+                'service': model_module.SERVICE_NAME,
             }
         )
         for n in range(workers)
     ]
-    listed += [
+    host_records += [
         hosts.Host.model_validate(
             {
                 'name': f'entry-{n}',
@@ -60,32 +60,34 @@
         for n in range(entries)
     ]
     kernel.view = type(kernel.view)(owner='entry-0', zone='zone-0')
-    kernel.on_host_list(hosts.HostList(version=2, hosts=listed))
-    for known in kernel.view.watched():
+    kernel.on_host_list(hosts.HostList(version=2, hosts=host_records))
+    for endpoint in kernel.view.watched():
         kernel.view.update_report(
-            known.name, 'i', frames.Load(capacity=10**6), sim_module.START
+            endpoint.name, 'i', frames.Load(capacity=10**6), sim_module.START
         )
     return kernel
 
 
-def _cost_us(kernel: entry_kernel.EntryKernel) -> float:
-    """Return the processor time of one call's decisions, best of five."""
-    best = float('inf')
+def _decision_time_us(kernel: entry_kernel.EntryKernel) -> float:
+    """Return the CPU time of one call's decisions, in us, best of five."""
+    best_us = float('inf')
     for _ in range(5):
         gc.collect()
-        began = time.process_time()
-        for number in range(CALLS):
-            _one_call(kernel, number)
-        best = min(best, (time.process_time() - began) / CALLS * 1e6)
-    return best
+        started_at = time.process_time()
+        for number in range(CALL_COUNT):
+            _run_call(kernel, number)
+        best_us = min(
+            best_us, (time.process_time() - started_at) / CALL_COUNT * 1e6
+        )
+    return best_us
 
 
-def _one_call(kernel: entry_kernel.EntryKernel, number: int) -> None:
+def _run_call(kernel: entry_kernel.EntryKernel, number: int) -> None:
     now = sim_module.START
     call = call_module.Call(
         call_id=f'c{number}',
         organisation='org-0',
-        service=model_module.SERVICE,
+        service=model_module.SERVICE_NAME,
         operation='run',
         priority=fleet.Priority.INTERACTIVE,
         repeatable=True,
@@ -112,34 +114,38 @@
         kernel.on_frame(opened.stream_id, frame, now)  # type: ignore[union-attr]
 
 
-@report.measure('decision-cost')
+@report.benchmark('decision-cost')
 def decision_cost(seed: int) -> list[report.Row]:
-    """Processor time and memory by number of workers."""
+    """CPU time and memory of the entry kernel per number of workers."""
     rows = []
-    costs = {}
-    for workers in SIZES:
+    times_us = {}
+    for workers in FLEET_SIZES:
         tracemalloc.start()
-        entries = ENTRIES if workers > TODAY else 8
-        kernel = _kernel(workers, entries, ZONES if workers > TODAY else 3)
-        memory = tracemalloc.get_traced_memory()[0] / 1e6
+        entries = ENTRY_COUNT if workers > SMALL_FLEET_WORKERS else 8
+        kernel = _make_kernel(
+            workers,
+            entries,
+            ZONE_COUNT if workers > SMALL_FLEET_WORKERS else 3,
+        )
+        memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
         tracemalloc.stop()
-        costs[workers] = _cost_us(kernel)
+        times_us[workers] = _decision_time_us(kernel)
         variant = f'{workers} workers'
         rows.append(
             report.Row(
                 figure='entry kernel, us a call',
                 variant=variant,
-                value=costs[workers],
+                value=times_us[workers],
             )
         )
         rows.append(
             report.Row(
                 figure='entry kernel, MB of members',
                 variant=variant,
-                value=memory,
+                value=memory_mb,
             )
         )
-        interval = kernel.view.report_interval().total_seconds()
+        interval_s = kernel.view.report_interval().total_seconds()
         watched = len(kernel.view.watched())
         rows.append(
             report.Row(
@@ -152,10 +158,10 @@
             report.Row(
                 figure='seconds between reports',
                 variant=variant,
-                value=interval,
+                value=interval_s,
             )
         )
-    growth = costs[SIZES[-1]] / costs[SIZES[1]]
+    growth = times_us[FLEET_SIZES[-1]] / times_us[FLEET_SIZES[1]]
     rows.append(
         report.Row(
             figure='us a call, 12,000 / 200 workers',
@@ -168,14 +174,14 @@
     return rows
 
 
-@report.measure('subset')
+@report.benchmark('subset')
 def subsets(seed: int) -> list[report.Row]:
-    """Evenness and churn of dealt and of rendezvous subsets."""
+    """Evenness of assigned and of rendezvous subsets, and their churn."""
     names = [f'worker-{n}' for n in range(750)]
     owners = [f'entry-{n}' for n in range(26)]
     size = 64
     rows = []
-    for name, choose in (('dealt', _dealt), ('rendezvous', _picked)):
+    for name, choose in (('dealt', _assigned), ('rendezvous', _rendezvous)):
         counts = dict.fromkeys(names, 0)
         before = {o: set(choose(o, owners, names, size)) for o in owners}
         for chosen in before.values():
@@ -211,54 +217,54 @@
     return rows
 
 
-def _dealt(
+def _assigned(
     owner: str, owners: list[str], names: list[str], size: int
 ) -> abc.Iterable[str]:
     return subset.assign(owner, owners, names, size)
 
 
-def _picked(
+def _rendezvous(
     owner: str, owners: list[str], names: list[str], size: int
 ) -> abc.Iterable[str]:
     return subset.select(owner, names, size)
 
 
-@report.measure('configuration')
+@report.benchmark('configuration')
 def configuration(seed: int) -> list[report.Row]:
-    """Folding one change in a fleet of 10 and of 4,600 organisations."""
+    """CPU time of one change in a small and in a large fleet."""
     rows = []
-    for count in (10, ORGANISATIONS):
-        document = _fleet_of(count)
+    for count in (10, ORGANISATION_COUNT):
+        document = _fleet_document(count)
         state = state_module.FleetState()
         state.set_document(1, document, fleet.Fleet.model_validate(document))
         changed = {**document, 'name': 'changed'}
-        began = time.process_time()
-        steps = patch.diff(document, changed)
-        differ = time.process_time() - began
+        started_at = time.process_time()
+        operations = patch.diff(document, changed)
+        diff_s = time.process_time() - started_at
         record = records.ConfigChange(
             id='x',
             author='x',
             at=sim_module.START,
             base_version=1,
             digest=patch.digest(changed),
-            patch=steps,
+            patch=operations,
         )
         body = record.model_dump(mode='json')
-        began = time.process_time()
+        started_at = time.process_time()
         verdict = reducer.apply_record(state, 2, body)
-        folded = time.process_time() - began
+        apply_s = time.process_time() - started_at
         assert verdict is reducer.Verdict.ACCEPTED
         variant = f'{count} organisations'
         rows += [
             report.Row(
                 figure='ms to fold one change',
                 variant=variant,
-                value=folded * 1000,
+                value=apply_s * 1000,
             ),
             report.Row(
                 figure='ms to diff (operator)',
                 variant=variant,
-                value=differ * 1000,
+                value=diff_s * 1000,
             ),
             report.Row(
                 figure='bytes of one change on the log',
@@ -269,9 +275,9 @@
     return rows
 
 
-def _fleet_of(organisations: int) -> patch.Document:
+def _fleet_document(organisations: int) -> patch.Document:
     rng = random.Random(1)
-    model = model_module.Model(
+    model = model_module.LoadModel(
         seed=1,
         entries=1,
         endpoints=1,
