--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -149,8 +149,8 @@
             # Another group of the service is available.
             result = outcome.AttemptResult.DECLINED
         # Only requests that were already sent need the retry budget.
-        is_first_send = history.attempts_sent == 0
-        has_budget = is_first_send or budget.available >= 1
+        not_sent_yet = history.attempts_sent == 0
+        has_budget = not_sent_yet or budget.available >= 1
         step = outcome.next_step(history, result, has_budget=has_budget)
         if (
             step is outcome.NextStep.REFUSE
@@ -167,7 +167,7 @@
                 step = outcome.NextStep.RETRY
         if (
             step is outcome.NextStep.RETRY
-            and not is_first_send
+            and not not_sent_yet
             and not budget.take()
         ):
             # Other requests used up the budget during the wait.
