--- a/src/aspenfold/cli/gateway.py
+++ b/src/aspenfold/cli/gateway.py
@@ -1,4 +1,4 @@
-"""``aspenfold-gateway``: serves callers on a host of the platform."""
+"""``aspenfold-gateway``: routes requests on a host of the platform."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 
 
 def main() -> None:
-    """Serve by the settings file that the environment names."""
+    """Serve with the settings file that the environment names."""
     exit_status.run_and_exit(_serve)
 
 
-def _serve() -> exit_status.Exit:
+def _serve() -> exit_status.ExitStatus:
     cfg = settings.load_gateway(settings.path_from_environment())
     events.configure_output()
     platform = factory.create_platform(cfg.store)
@@ -31,4 +31,4 @@
         await process.run()
 
     asyncio.run(run())
-    return exit_status.Exit.OK
+    return exit_status.ExitStatus.OK
--- a/src/aspenfold/cli/rank_agent.py
+++ b/src/aspenfold/cli/rank_agent.py
@@ -1,4 +1,4 @@
-"""``aspenfold-rank-agent``: beside an engine, for the leader of its group."""
+"""``aspenfold-rank-agent``: forwards calls to the engine on its host."""
 
 import asyncio
 import sys
@@ -12,11 +12,11 @@
 
 
 def main() -> None:
-    """Serve by the settings file that the environment names."""
+    """Serve with the settings file that the environment names."""
     sys.exit(exit_status.run_command(_serve))
 
 
-def _serve() -> exit_status.Exit:
+def _serve() -> exit_status.ExitStatus:
     cfg = settings.load_rank_agent(settings.path_from_environment())
     events.configure_output()
 
@@ -31,4 +31,4 @@
         await agent.run()
 
     asyncio.run(run())
-    return exit_status.Exit.OK
+    return exit_status.ExitStatus.OK
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -3,7 +3,7 @@
 import datetime
 
 from aspenfold_standins import sim as sim_module
-from tests.lib import group_world
+from tests.lib import simulated_group
 
 from aspenfold._internal.attempts import actions
 from aspenfold._internal.attempts import kernel as agent_kernel
@@ -14,10 +14,10 @@
 
 def test_group_machines_forget_finished_runs() -> None:
     """Leader and ranks keep only unfinished runs."""
-    world = group_world.GroupWorld(seed=1)
-    world.put_plan(5)
+    world = simulated_group.SimulatedGroup(seed=1)
+    world.set_plan(5)
     world.sim.run(20_000)
-    assert world.steps_done > 3000
+    assert world.completed_steps > 3000
     leader = world.agents[0].leader
     assert leader is not None
     for member in leader._members.values():
