--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -13,7 +13,7 @@
 
 def test_generated_pages_are_current() -> None:
     """Run ``python -m tools.write_tables`` after a change of tables."""
-    assert write_tables.stale() == []
+    assert write_tables.stale_pages() == []
 
 
 def test_every_code_and_event_is_used() -> None:
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,9 @@
-"""``make demo``: the whole path as processes, on real requests.
+"""``make demo``: checks the whole system, as processes on loopback.
 
-Starts each deployment's example fleet with the stand-ins on free
-loopback ports, applies it, sends calls, checks every answer, drains an
-endpoint under a stream, and prints the audit trail.  Exits 0 only if
-all of it held.
+For each example fleet, starts the processes and stand-ins, applies the
+fleet, sends calls and checks every response, drains an endpoint that
+streams, and prints the audit trail.  The exit status is 0 only if every
+check passed.
 """
 
 import json
@@ -20,247 +20,269 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
-class Story(typing.NamedTuple):
-    """The names that a deployment's demo uses."""
+class Scenario(typing.NamedTuple):
+    """An example fleet, and the names in it that the demo uses.
+
+    ``service`` is a plain service; ``once_operation`` is an operation
+    of it that must run only once.
+    """
 
     fleet: str
     organisation: str
-    plain: str
-    ping: str
-    once: str
+    service: str
+    ping_operation: str
+    once_operation: str
     model: str
 
 
-STORIES = (
-    Story(
+SCENARIOS = (
+    Scenario(
         fleet='partitions',
         organisation='octave-levis',
-        plain='till-api',
-        ping='proof-check',
-        once='page-turn',
+        service='till-api',
+        ping_operation='proof-check',
+        once_operation='page-turn',
         model='engrave-llm',
     ),
-    Story(
+    Scenario(
         fleet='calabash',
         organisation='arima-library',
-        plain='archive-api',
-        ping='catalogue-lookup',
-        once='annotation-write',
+        service='archive-api',
+        ping_operation='catalogue-lookup',
+        once_operation='annotation-write',
         model='annotator',
     ),
 )
 
-TOKENS = 60
-DRAINED_TOKENS = 400
+TOKEN_COUNT = 60
+DRAINED_TOKEN_COUNT = 400
 
 
-class Failed(Exception):
-    """Something that the demo shows did not hold."""
+class CheckFailed(Exception):
+    """A check of the demo failed."""
 
 
-def check(holds: bool, what: str) -> None:
-    """Print what was checked; raise if it does not hold."""
-    print(f'  {"ok  " if holds else "FAIL"} {what}', flush=True)
-    if not holds:
-        raise Failed(what)
+def check(passed: bool, description: str) -> None:
+    """Print the result of a check; raise CheckFailed if it failed."""
+    print(f'  {"ok  " if passed else "FAIL"} {description}', flush=True)
+    if not passed:
+        raise CheckFailed(description)
 
 
 class Demo:
-    """One deployment's demo."""
+    """The demo of one deployment."""
 
     def __init__(
-        self, *, story: Story, deployment: launcher.Deployment
+        self, *, scenario: Scenario, deployment: launcher.Deployment
     ) -> None:
-        self.story = story
+        self.scenario = scenario
         self.deployment = deployment
         self.headers = {
-            'Authorization': f'Bearer demo-{story.organisation}-secret'
+            'Authorization': f'Bearer demo-{scenario.organisation}-secret'
         }
 
     def run(self) -> None:
-        """Show everything."""
-        self.apply()
-        self.ping()
-        self.once()
-        self.stream()
-        self.drain()
-        self.audit()
-
-    def url(self, entry: int) -> str:
+        """Run all steps of the demo."""
+        self.apply_fleet()
+        self.send_repeatable_call()
+        self.send_once_only_call()
+        self.stream_generation()
+        self.drain_endpoint()
+        self.print_audit_trail()
+
+    def entry_url(self, entry: int) -> str:
         """Return the base URL of an entry."""
         name = self.deployment.entry_names()[entry]
         return self.deployment.processes[name].url
 
-    def apply(self) -> None:
-        """Put the fleet in force through the log."""
+    def apply_fleet(self) -> None:
+        """Apply the fleet and wait until every rank has a map."""
         result = self.deployment.run_operator_command(
             'apply', str(self.deployment.fleet_file), '--reason=demo'
         )
         print(result.stdout)
-        check(result.returncode == 0, 'the fleet is in force on every entry')
+        check(result.returncode == 0, 'every entry uses the fleet')
         self.deployment.wait_for(
             'all ranks', self.deployment.all_ranks_have_map
         )
-        check(True, 'every rank group steps on one expert map')
+        check(True, 'every rank reports an expert map in use')
 
-    def ping(self) -> None:
-        """Send an interactive call."""
-        story = self.story
-        began = time.monotonic()
-        answer = self.deployment.request(
+    def send_repeatable_call(self) -> None:
+        """Send a call that may be repeated."""
+        scenario = self.scenario
+        started_at = time.monotonic()
+        response = self.deployment.request(
             'POST',
-            f'{self.url(0)}/services/{story.plain}/{story.ping}',
+            f'{self.entry_url(0)}/services/{scenario.service}'
+            f'/{scenario.ping_operation}',
             {'ping': 1},
             self.headers,
         )
-        taken = (time.monotonic() - began) * 1000
-        check(answer.status == 200, f'{story.ping} answered: {answer.data!r}')
-        print(f'       in {taken:.0f} ms')
+        elapsed_ms = (time.monotonic() - started_at) * 1000
+        check(
+            response.status == 200,
+            f'{scenario.ping_operation} answered: {response.data!r}',
+        )
+        print(f'       in {elapsed_ms:.0f} ms')
 
-    def once(self) -> None:
-        """Send a call that must not be repeated, twice, at two zones."""
-        story = self.story
+    def send_once_only_call(self) -> None:
+        """Send a call that must run only once to entries in two zones."""
+        scenario = self.scenario
         headers = {**self.headers, 'Idempotency-Key': 'demo-job-1'}
-        path = f'/services/{story.plain}/{story.once}'
-        answers = [
+        path = f'/services/{scenario.service}/{scenario.once_operation}'
+        responses = [
             self.deployment.request(
-                'POST', self.url(entry) + path, {'job': 7}, headers
+                'POST', self.entry_url(entry) + path, {'job': 7}, headers
             )
             for entry in (0, 1)
         ]
-        for answer in answers:
-            print(f'       {answer.status} {answer.data!r}')
+        for response in responses:
+            print(f'       {response.status} {response.data!r}')
         check(
-            answers[0].status == 200 and answers[0].data == answers[1].data,
-            f'{story.once} sent to two zones: the same answer twice',
+            responses[0].status == 200
+            and responses[0].data == responses[1].data,
+            f'{scenario.once_operation} sent to two zones: '
+            'both got the same response',
         )
-        runs = self.runs_of(f'/{story.once}')
-        check(len(runs) == 1, f'{story.once} ran {len(runs)} time')
-        missing = self.deployment.request(
-            'POST', self.url(0) + path, {'job': 8}, self.headers
+        executions = self.executions_of(f'/{scenario.once_operation}')
+        check(
+            len(executions) == 1,
+            f'{scenario.once_operation} executions: {len(executions)}',
+        )
+        without_key = self.deployment.request(
+            'POST', self.entry_url(0) + path, {'job': 8}, self.headers
         )
         check(
-            missing.status == 400
-            and missing.headers['Aspenfold-Outcome'] == 'not-run',
-            f'without a key it is refused: {missing.data!r}',
+            without_key.status == 400
+            and without_key.headers['Aspenfold-Outcome'] == 'not-run',
+            f'without a key the call is refused: {without_key.data!r}',
         )
 
-    def runs_of(self, operation: str) -> list[typing.Any]:
-        """Return all executions of an operation, over all endpoints."""
+    def executions_of(self, operation: str) -> list[typing.Any]:
+        """Return the executions of an operation on all plain endpoints."""
         records = [
             self.deployment.fetch_record(name)
             for name in self.deployment.processes
             if name.startswith('plain-')
         ]
         return [
-            run
+            execution
             for record in records
-            for run in record['runs']
-            if run['operation'] == operation
+            for execution in record['runs']
+            if execution['operation'] == operation
         ]
 
-    def generate(self, entry: int, prompt: str, tokens: int) -> str:
-        """Stream a generation and return its text; check its end."""
-        answer = self.deployment.request(
+    def generate_text(self, entry: int, prompt: str, token_count: int) -> str:
+        """Stream a generation and return its text.
+
+        Raises CheckFailed if the stream is incomplete.
+        """
+        response = self.deployment.request(
             'POST',
-            f'{self.url(entry)}/v1/completions',
+            f'{self.entry_url(entry)}/v1/completions',
             {
-                'model': self.story.model,
+                'model': self.scenario.model,
                 'prompt': prompt,
-                'max_tokens': tokens,
+                'max_tokens': token_count,
                 'stream': True,
             },
             self.headers,
         )
-        events = answer.data.decode().strip().split('\n\n')
-        if events[-1] != f'id: {tokens}\ndata: [DONE]':
-            raise Failed(f'the stream ended in {events[-1]!r}')
+        events = response.data.decode().strip().split('\n\n')
+        if events[-1] != f'id: {token_count}\ndata: [DONE]':
+            raise CheckFailed(f'unexpected end of the stream: {events[-1]!r}')
         chunks = [
             json.loads(event.split('data: ', 1)[1]) for event in events[:-1]
         ]
         return ''.join(chunk['choices'][0]['text'] for chunk in chunks)
 
-    def stream(self) -> None:
-        """Stream a generation and compare it with the engine's."""
-        text = self.generate(1, 'Gloria in D', TOKENS)
+    def stream_generation(self) -> None:
+        """Stream a generation and compare it with the expected text."""
+        text = self.generate_text(1, 'Gloria in D', TOKEN_COUNT)
         check(
-            text == engine.generate_text('Gloria in D', TOKENS),
-            f'a stream of {TOKENS} tokens is whole: {text[:32]!r}...',
+            text == engine.generate_text('Gloria in D', TOKEN_COUNT),
+            f'a stream of {TOKEN_COUNT} tokens is complete: {text[:32]!r}...',
         )
 
-    def drain(self) -> None:
-        """Drain an endpoint while it streams."""
+    def drain_endpoint(self) -> None:
+        """Drain an endpoint that streams, and check that the stream ends."""
         texts: list[str] = []
         thread = threading.Thread(
             target=lambda: texts.append(
-                self.generate(0, 'Kyrie in G', DRAINED_TOKENS)
+                self.generate_text(0, 'Kyrie in G', DRAINED_TOKEN_COUNT)
             )
         )
         thread.start()
-        self.deployment.wait_for('a stream', lambda: bool(self.busy()))
-        (name,) = self.busy()
+        self.deployment.wait_for(
+            'a stream', lambda: bool(self.busy_endpoints())
+        )
+        (name,) = self.busy_endpoints()
         result = self.deployment.run_operator_command(
             'drain', name, '--reason=demo'
         )
-        check(result.returncode == 0, f'{name} drains under a stream')
-        self.deployment.wait_for('the drain', lambda: self.leaving(name))
+        check(
+            result.returncode == 0, f'{name} accepts a drain while it streams'
+        )
+        self.deployment.wait_for(
+            'the drain', lambda: self.is_leaving_everywhere(name)
+        )
         thread.join()
         check(
-            texts == [engine.generate_text('Kyrie in G', DRAINED_TOKENS)],
-            f'its stream of {DRAINED_TOKENS} tokens was not cut',
+            texts == [engine.generate_text('Kyrie in G', DRAINED_TOKEN_COUNT)],
+            f'its stream of {DRAINED_TOKEN_COUNT} tokens was not interrupted',
         )
 
-    def busy(self) -> list[str]:
-        """Return the endpoints that this entry has work on."""
+    def busy_endpoints(self) -> list[str]:
+        """Return the endpoints that the first entry has requests on."""
         status = self.deployment.fetch_entry_status(
             self.deployment.entry_names()[0]
         )
         assert status is not None
         return [e['name'] for e in status['endpoints'] if e['in_flight_here']]
 
-    def leaving(self, name: str) -> bool:
-        """Return whether every entry sees the endpoint leave."""
-        reports = [
+    def is_leaving_everywhere(self, name: str) -> bool:
+        """Return whether every entry reports that the endpoint leaves."""
+        statuses = [
             self.deployment.fetch_entry_status(entry)
             for entry in self.deployment.entry_names()
         ]
         return all(
-            report is not None
+            status is not None
             and any(
-                e['name'] == name and e['leaving'] for e in report['endpoints']
+                e['name'] == name and e['leaving'] for e in status['endpoints']
             )
-            for report in reports
+            for status in statuses
         )
 
-    def audit(self) -> None:
-        """Print the audit trail."""
+    def print_audit_trail(self) -> None:
+        """Print the audit trail and check which kinds of change it lists."""
         result = self.deployment.run_operator_command('audit')
         print(result.stdout)
         kinds = ('config', 'lease', 'map', 'membership')
         check(
             all(f' {kind} ' in result.stdout for kind in kinds),
-            f'the audit trail shows {", ".join(kinds)}',
+            f'the audit trail lists {", ".join(kinds)}',
         )
 
 
-def show(story: Story) -> bool:
-    """Run one deployment's demo; return whether all held."""
-    print(f'\n=== {story.fleet}', flush=True)
+def run_demo(scenario: Scenario) -> bool:
+    """Run the demo of one fleet; return whether every check passed."""
+    print(f'\n=== {scenario.fleet}', flush=True)
     with tempfile.TemporaryDirectory() as directory:
         deployment = launcher.Deployment(
-            fleet_file=ROOT / 'examples' / f'{story.fleet}.json',
+            fleet_file=ROOT / 'examples' / f'{scenario.fleet}.json',
             directory=pathlib.Path(directory),
         )
         try:
             deployment.start()
-            count = len(deployment.processes)
+            processes = len(deployment.processes)
             zones = len(deployment.fleet.zones())
-            print(f'  {count} processes in {zones} availability zones')
-            Demo(story=story, deployment=deployment).run()
-        except (Failed, launcher.LaunchError) as exc:
+            print(f'  {processes} processes in {zones} availability zones')
+            Demo(scenario=scenario, deployment=deployment).run()
+        except (CheckFailed, launcher.LaunchError) as exc:
             print(f'  FAILED: {exc}', file=sys.stderr)
-            errors = pathlib.Path(directory, 'stderr.txt')
-            print(errors.read_text(encoding='utf-8'), file=sys.stderr)
+            stderr_file = pathlib.Path(directory, 'stderr.txt')
+            print(stderr_file.read_text(encoding='utf-8'), file=sys.stderr)
             return False
         finally:
             deployment.stop()
@@ -268,13 +290,15 @@
 
 
 def main() -> int:
-    """Run every demo."""
-    began = time.monotonic()
-    results = [show(story) for story in STORIES]
-    taken = time.monotonic() - began
-    held = all(results)
-    print(f'\n{"all held" if held else "FAILED"}, in {taken:.1f} s')
-    return 0 if held else 1
+    """Run the demo of every fleet; return the exit status."""
+    started_at = time.monotonic()
+    results = [run_demo(scenario) for scenario in SCENARIOS]
+    seconds = time.monotonic() - started_at
+    passed = all(results)
+    print(
+        f'\n{"all checks passed" if passed else "FAILED"}, in {seconds:.1f} s'
+    )
+    return 0 if passed else 1
 
 
 if __name__ == '__main__':
--- a/tools/serve.py
+++ b/tools/serve.py
@@ -1,4 +1,4 @@
-"""``make serve``: the demo's deployment, for a person to play with."""
+"""``make serve``: runs an example deployment for manual use."""
 
 import pathlib
 import signal
@@ -11,11 +11,11 @@
 
 
 def main() -> int:
-    """Start the deployment that the first argument names, until ^C."""
-    name = sys.argv[1] if len(sys.argv) > 1 else 'partitions'
+    """Start an example fleet, by default ``partitions``, until Ctrl-C."""
+    fleet_name = sys.argv[1] if len(sys.argv) > 1 else 'partitions'
     with tempfile.TemporaryDirectory() as directory:
         deployment = launcher.Deployment(
-            fleet_file=ROOT / 'examples' / f'{name}.json',
+            fleet_file=ROOT / 'examples' / f'{fleet_name}.json',
             directory=pathlib.Path(directory),
         )
         try:
--- a/tools/write_tables.py
+++ b/tools/write_tables.py
@@ -1,4 +1,4 @@
-"""Writes the generated pages; ``--check`` only compares them."""
+"""Writes the generated documentation; ``--check`` only compares it."""
 
 import json
 import pathlib
@@ -13,22 +13,22 @@
 NOTE = '<!-- Written by tools/write_tables.py; edit the code instead. -->'
 
 
-def errors() -> str:
-    """Return the table of result codes."""
+def render_errors() -> str:
+    """Return the Markdown page of result codes."""
     lines = [
         '# Result codes',
         '',
         NOTE,
         '',
-        'The first digit tells whether the request ran.  1: not run, and',
-        'it never will.  2: unknown.  3: it ran, but its answer cannot be',
-        'given whole.  4 and 5 are for operators.  Callers find the code',
-        'in `error.code` and in the header `Aspenfold-Code`, and the',
-        'outcome in `Aspenfold-Outcome`.',
+        'The first digit shows whether the request ran.  1: it did not run',
+        'and never will.  2: unknown.  3: it ran, but the complete response',
+        'is not available.  4 and 5 are for operators.  Callers get the',
+        'code in `error.code` and in the header `Aspenfold-Code`, and the',
+        'outcome in the header `Aspenfold-Outcome`.',
         '',
-        'A refusal of a call *with* a key says "not run" only if the key',
-        'itself cannot have run; otherwise it is 2003, and the same key',
-        'may be submitted again after `Retry-After`.',
+        'A call *with* an idempotency key is refused as "not run" only if',
+        'no request with that key can have run.  Otherwise the code is',
+        '2003, and the same key may be sent again after `Retry-After`.',
         '',
         '| code | name | HTTP | outcome | meaning |',
         '| --- | --- | --- | --- | --- |',
@@ -44,18 +44,18 @@
     return '\n'.join(lines) + '\n'
 
 
-def event_catalogue() -> str:
-    """Return the table of log events."""
+def render_events() -> str:
+    """Return the Markdown page of log events."""
     lines = [
         '# Log events',
         '',
         NOTE,
         '',
-        'Programs log one JSON object a line.  `event` is the number,',
-        '`message_type` the name.  `call` is the id that the caller got in',
-        '`X-Request-Id`, `attempt` the id of one attempt at it: together',
-        'they follow a request over entry and agent.  Credentials, keys',
-        'and bodies are never logged.',
+        'Programs log one JSON object per line.  `event` is the number and',
+        '`message_type` the name of the event.  `call` is the request id,',
+        'which the caller gets in `X-Request-Id`; `attempt` is the id of',
+        'one attempt at the request.  Use both to trace a request through',
+        'entry and agent.  Credentials, keys and bodies are never logged.',
         '',
         '| number | name | meaning |',
         '| --- | --- | --- |',
@@ -67,28 +67,28 @@
     return '\n'.join(lines) + '\n'
 
 
-def schema(model: type) -> str:
-    """Return a model's JSON Schema."""
+def render_schema(model: type) -> str:
+    """Return the JSON Schema of a pydantic model."""
     document = model.model_json_schema()  # type: ignore[attr-defined]
     return json.dumps(document, indent=2, sort_keys=True) + '\n'
 
 
-def pages() -> dict[str, str]:
-    """Return every generated page by its file name."""
+def render_pages() -> dict[str, str]:
+    """Return the text of every generated page by its path below docs."""
     return {
-        'ERRORS.md': errors(),
-        'EVENTS.md': event_catalogue(),
-        'schema/fleet.json': schema(fleet.Fleet),
-        'schema/entry.json': schema(settings.EntrySettings),
-        'schema/agent.json': schema(settings.AgentSettings),
-        'schema/operator.json': schema(settings.OperatorSettings),
+        'ERRORS.md': render_errors(),
+        'EVENTS.md': render_events(),
+        'schema/fleet.json': render_schema(fleet.Fleet),
+        'schema/entry.json': render_schema(settings.EntrySettings),
+        'schema/agent.json': render_schema(settings.AgentSettings),
+        'schema/operator.json': render_schema(settings.OperatorSettings),
     }
 
 
-def stale() -> list[str]:
-    """Return the generated pages that differ from the code."""
+def stale_pages() -> list[str]:
+    """Return the paths of the generated pages that are out of date."""
     result = []
-    for name, text in pages().items():
+    for name, text in render_pages().items():
         path = DOCS / name
         if not path.exists() or path.read_text(encoding='utf-8') != text:
             result.append(name)
@@ -96,11 +96,11 @@
 
 
 def main() -> int:
-    """Write the pages, or compare them."""
+    """Write or compare the pages; return the exit status."""
     if '--check' in sys.argv:
-        print('\n'.join(stale()))
-        return 1 if stale() else 0
-    for name, text in pages().items():
+        print('\n'.join(stale_pages()))
+        return 1 if stale_pages() else 0
+    for name, text in render_pages().items():
         path = DOCS / name
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(text, encoding='utf-8')
