--- a/standins/aspenfold_standins/http11.py
+++ b/standins/aspenfold_standins/http11.py
@@ -76,7 +76,7 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.port = 0
-        self.connections = 0
+        self.connection_count = 0
 
     async def start(self, port: int = 0) -> None:
         """Listen on the loopback address; port 0 picks a free port."""
@@ -95,7 +95,7 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self._writers.add(writer)
         try:
             while not writer.is_closing():
--- a/standins/aspenfold_standins/log_service.py
+++ b/standins/aspenfold_standins/log_service.py
@@ -107,27 +107,27 @@
     ) -> typing.Any:
         self._apply_faults()
         start = int(query.get('from', 1))
-        wait = min(MAX_WAIT_S, int(query.get('wait_ms', 0)) / 1000)
+        wait_s = min(MAX_WAIT_S, int(query.get('wait_ms', 0)) / 1000)
         with self._changed:
             self._changed.wait_for(
                 lambda: (
                     self._streams[path[0]].next_offset > start
                     or self._faults.get('down')
                 ),
-                timeout=wait,
+                timeout=wait_s,
             )
             if self._faults.get('down'):
                 raise json_server.HttpError(503, 'the log service is down')
             stream = self._streams[path[0]]
-            begin = max(start, stream.first_offset)
-            rows = stream.records[begin - stream.first_offset :][
+            page_start = max(start, stream.first_offset)
+            records = stream.records[page_start - stream.first_offset :][
                 :MAX_PAGE_RECORDS
             ]
             return {
                 'first': stream.first_offset,
                 'next': stream.next_offset,
                 'records': [
-                    {'offset': begin + i, 'body': row}
-                    for i, row in enumerate(rows)
+                    {'offset': page_start + index, 'body': record}
+                    for index, record in enumerate(records)
                 ],
             }
--- a/standins/aspenfold_standins/platform_worker.py
+++ b/standins/aspenfold_standins/platform_worker.py
@@ -19,7 +19,8 @@
 class Worker:
     """One incarnation of an endpoint.
 
-    ``script`` writes the response to each request.
+    ``script`` writes the response to each request; ``executions`` counts
+    the executions of each attempt id.
     """
 
     def __init__(self, name: str, *, slots: int = 6) -> None:
@@ -27,8 +28,8 @@
         self.slots = slots
         self.script: Script = complete
         self.requests: list[http11.Request] = []
-        self.runs: collections.Counter[str] = collections.Counter()
-        self.cancelled = 0
+        self.executions: collections.Counter[str] = collections.Counter()
+        self.cancelled_count = 0
         self.event_count = 10
         self.event_interval_s = 0.0
         self._server = http11.Server(self._handle)
@@ -66,7 +67,7 @@
 
     def record_execution(self, exchange: http11.Exchange) -> None:
         """Count an execution of the request's attempt."""
-        self.runs[exchange.request.headers.get(ATTEMPT_HEADER, '')] += 1
+        self.executions[exchange.request.headers.get(ATTEMPT_HEADER, '')] += 1
 
     async def _handle(self, exchange: http11.Exchange) -> None:
         self.requests.append(exchange.request)
@@ -77,7 +78,7 @@
         try:
             await self.script(self, exchange)
         except asyncio.CancelledError:
-            self.cancelled += 1
+            self.cancelled_count += 1
             raise
 
 
--- a/standins/aspenfold_standins/weight_store.py
+++ b/standins/aspenfold_standins/weight_store.py
@@ -36,10 +36,10 @@
     ) -> typing.Any:
         now = time.monotonic()
         with self._lock:
-            wait = self._next_allowed_at - now
-            if wait > 0:
+            wait_s = self._next_allowed_at - now
+            if wait_s > 0:
                 raise json_server.HttpError(
-                    429, 'rate limit exceeded', Retry_After=f'{wait:.3f}'
+                    429, 'rate limit exceeded', Retry_After=f'{wait_s:.3f}'
                 )
             self._next_allowed_at = (
                 max(now, self._next_allowed_at) + 1 / self._rate
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -42,7 +42,7 @@
 
 def run_count(rig: rigs.Rig) -> int:
     """Return how many requests all endpoints ran."""
-    return sum(sum(worker.runs.values()) for worker in rig.workers)
+    return sum(sum(worker.executions.values()) for worker in rig.workers)
 
 
 def test_a_response_is_forwarded_unchanged() -> None:
@@ -329,9 +329,9 @@
         await rig.wait_until_ready()
         _, writer = await rig.connect()
         writer.write(rig.request_head('/stream/')[1])
-        await rigs.wait_until(lambda: worker.runs)
+        await rigs.wait_until(lambda: worker.executions)
         writer.close()
-        await rigs.wait_until(lambda: worker.cancelled)
+        await rigs.wait_until(lambda: worker.cancelled_count)
 
     run_scene(scene)
 
@@ -376,7 +376,7 @@
         await rig.wait_until_ready()
         _, writer = await rig.connect()
         writer.write(rig.request_head('/model/')[1])
-        await rigs.wait_until(lambda: worker.runs)
+        await rigs.wait_until(lambda: worker.executions)
         answer = await rig.request('/model/')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
@@ -458,7 +458,7 @@
         worker.event_interval_s = 0.05
         await rig.wait_until_ready()
         asking = asyncio.ensure_future(rig.request('/stream/', body='x'))
-        await rigs.wait_until(lambda: worker.runs)
+        await rigs.wait_until(lambda: worker.executions)
         ending = asyncio.ensure_future(rig.gateway.drain())
         await asyncio.sleep(0)
         assert not rig.gateway.ready
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -120,7 +120,7 @@
             answer = await rig.request('/model/', **rigs.deadline_header(3.0))
             assert answer.status == 503
             assert 'retry-after' in answer.headers
-            assert worker.runs.total() == 0
+            assert worker.executions.total() == 0
 
     asyncio.run(run())
 
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -124,7 +124,7 @@
         process.send_signal(signal.SIGHUP)
         reader, writer = await asyncio.open_connection(ADDRESS, callers)
         writer.write(rig.request_head('/stream/')[1])
-        await rigs.wait_until(lambda: worker.runs)
+        await rigs.wait_until(lambda: worker.executions)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
         again = asyncio.ensure_future(repeat_sigterm(process))
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -155,7 +155,7 @@
     """A check that cannot fail proves nothing."""
     scene = Scene(tmp_path)
     scene.asked('/unsafe/', 503)
-    scene.worker.runs['soak-1'] = 2
+    scene.worker.executions['soak-1'] = 2
     found = scene.broken()
     assert 'ran 2 times' in found
     assert 'ran and was told 503' in found
@@ -170,7 +170,7 @@
 
     scene = Scene(tmp_path)
     scene.asked('/safe/', 200, b'', whole=False)
-    scene.worker.runs['soak-1'] = 1
+    scene.worker.executions['soak-1'] = 1
     assert 'was cut' in scene.broken()
 
     scene = Scene(tmp_path)
--- a/tests/soak/guarantees.py
+++ b/tests/soak/guarantees.py
@@ -45,7 +45,7 @@
         """Return all that was broken."""
         every = [*self._system.endpoints, *self._system.gone]
         for endpoint in every:
-            self._runs.update(endpoint.worker.runs)
+            self._runs.update(endpoint.worker.executions)
             self._arrivals(endpoint)
         for asked in self._ledger.asked.values():
             self._request(asked)
@@ -144,7 +144,7 @@
         subjects += [
             e.worker.name
             for e in [*self._system.endpoints, *self._system.gone]
-            if asked.attempt in e.worker.runs
+            if asked.attempt in e.worker.executions
         ]
         calm = all(
             self._ledger.calm(subject, asked.sent_at, asked.ended_at)
