--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -1,4 +1,4 @@
-"""Connects an agent's machines of the expert map protocol to I/O."""
+"""Runs an agent's state machines of the expert map protocol."""
 
 import asyncio
 from collections import abc
@@ -23,10 +23,11 @@
 
 
 class GroupMember:
-    """Runs a rank's machine, and on rank 0 also the leader's.
+    """Runs the state machine of a rank, and on rank 0 also the leader's.
 
     The rank's machine is created once the engine has given its state, the
-    leader's once an entry has sent the first map.
+    leader's once an entry has sent the first map.  ``expert_load`` is the
+    load of each expert as last reported by the engine.
     """
 
     def __init__(
--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -19,7 +19,7 @@
 from tests.lib import signals
 
 ADDRESS = f'127.9.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}'
-"""An address of this run's own, since the metrics port is fixed."""
+"""Loopback address of this test run, since the metrics port is fixed."""
 
 PROGRAM = [
     sys.executable,
@@ -31,7 +31,7 @@
 def settings_file(
     *, callers: int, health: int, peers: list[int], store: int
 ) -> dict[str, object]:
-    """Return the settings as the platform would write them."""
+    """Return settings in the platform's format."""
     return {
         'node': 'gateway-1',
         'ip': ADDRESS,
@@ -47,12 +47,12 @@
 
 
 def environment(path: pathlib.Path) -> dict[str, str]:
-    """Return the environment with the settings file's path."""
+    """Return an environment that names the settings file."""
     return {**os.environ, settings.PATH_VARIABLE: str(path)}
 
 
 async def get(port: int, path: str) -> tuple[int, bytes]:
-    """Ask an address of the process."""
+    """Send a GET request and return the response's status and body."""
     reader, writer = await asyncio.open_connection(ADDRESS, port)
     writer.write(f'GET {path} HTTP/1.1\r\nHost: x\r\n\r\n'.encode())
     answer = await rigs.read_answer(reader)
@@ -61,7 +61,7 @@
 
 
 async def wait_ready(port: int) -> None:
-    """Wait until the process says that it can serve."""
+    """Wait until the process is ready."""
     async with asyncio.timeout(rigs.WAIT_S):
         while True:
             try:
@@ -73,7 +73,7 @@
 
 
 async def repeat_sigterm(process: asyncio.subprocess.Process) -> None:
-    """Ask it to end again and again, until it has."""
+    """Send SIGTERM repeatedly until the process has exited."""
     target = signals.Target(pid=process.pid)
     while process.returncode is None:
         target.send(signal.SIGTERM)
@@ -81,8 +81,11 @@
     target.close()
 
 
-async def play(tmp_path: pathlib.Path) -> tuple[int, str]:
-    """Run the program through a stream and both signals, to its end."""
+async def run_program(tmp_path: pathlib.Path) -> tuple[int, str]:
+    """Send the program a stream request, SIGHUP and SIGTERM.
+
+    Return its exit status and output.
+    """
     rig = rigs.Rig()
     await rig.store.start()
     await rig.configure(rigs.plan())
@@ -127,12 +130,12 @@
         await rigs.until(lambda: worker.runs)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
-        again = asyncio.ensure_future(repeat_sigterm(process))
+        repeated_signals = asyncio.ensure_future(repeat_sigterm(process))
         answer = await rigs.read_answer(reader)
         assert answer.whole
         assert answer.body.count(b'data:') == worker.events
         output, _ = await asyncio.wait_for(process.communicate(), rigs.WAIT_S)
-        await again
+        await repeated_signals
         return process.returncode or 0, output.decode()
     finally:
         if process.returncode is None:
@@ -142,9 +145,9 @@
         await rig.store.stop()
 
 
-def test_the_program_serves_reloads_and_ends(tmp_path: pathlib.Path) -> None:
-    """Both SIGTERMs are one; the stream in flight comes whole."""
-    status, output = asyncio.run(play(tmp_path))
+def test_program_serves_reloads_and_drains(tmp_path: pathlib.Path) -> None:
+    """Repeated SIGTERMs must not truncate the stream in flight."""
+    status, output = asyncio.run(run_program(tmp_path))
     assert status == 0
     lines = [json.loads(line) for line in output.splitlines()]
     order = [line['event'] for line in lines]
@@ -163,30 +166,30 @@
         ('not json', 'settings.json'),
     ],
 )
-def test_bad_settings_end_it_with_the_field(
+def test_invalid_settings_are_reported_with_the_field(
     tmp_path: pathlib.Path, text: str | None, field: str
 ) -> None:
-    """And with what to do."""
+    """Invalid settings must not end in a traceback."""
     path = tmp_path / 'settings.json'
     env = environment(path)
     if text is None:
         del env[settings.PATH_VARIABLE]
     else:
         path.write_text(text)
-    ended = subprocess.run(
+    completed = subprocess.run(
         PROGRAM, env=env, capture_output=True, text=True, timeout=30
     )
-    assert ended.returncode == exit_status.ExitStatus.USAGE
-    assert '[5000]' in ended.stderr
-    assert field in ended.stderr
-    assert 'try:' in ended.stderr
+    assert completed.returncode == exit_status.ExitStatus.USAGE
+    assert '[5000]' in completed.stderr
+    assert field in completed.stderr
+    assert 'try:' in completed.stderr
 
 
 @pytest.mark.parametrize('field', ['peer_port', 'callers', 'health'])
-def test_a_taken_port_ends_it_with_the_setting(
+def test_unavailable_port_is_reported_with_the_setting(
     tmp_path: pathlib.Path, field: str
 ) -> None:
-    """A port that another has is a coded error, not a traceback."""
+    """A port in use must not end in a traceback."""
     names = ('peer_port', 'callers', 'health')
     ports = dict(zip(names, free_ports.distinct(ADDRESS, 3), strict=True))
     path = tmp_path / 'settings.json'
@@ -201,15 +204,15 @@
         )
     )
     with socket.create_server((ADDRESS, ports[field])):
-        ended = subprocess.run(
+        completed = subprocess.run(
             PROGRAM,
             env=environment(path),
             capture_output=True,
             text=True,
             timeout=30,
         )
-    assert ended.returncode == exit_status.ExitStatus.FAILED
-    assert '[5001]' in ended.stderr
-    assert f'{ADDRESS}:{ports[field]}' in ended.stderr
-    assert field in ended.stderr
-    assert 'Traceback' not in ended.stderr
+    assert completed.returncode == exit_status.ExitStatus.FAILED
+    assert '[5001]' in completed.stderr
+    assert f'{ADDRESS}:{ports[field]}' in completed.stderr
+    assert field in completed.stderr
+    assert 'Traceback' not in completed.stderr
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -1,4 +1,4 @@
-"""What must always hold, once more with real processes."""
+"""Entries, agents and the operator's commands as real processes."""
 
 import json
 import pathlib
@@ -9,36 +9,38 @@
 from aspenfold_standins import engine
 from aspenfold_standins import launcher
 
-PLAINS = ('plain-till-zone-a', 'plain-till-zone-b')
-AGENTS = ('till-zone-a-0', 'till-zone-b-0')
+PLAIN_ENDPOINTS = ('plain-till-zone-a', 'plain-till-zone-b')
+PLAIN_AGENTS = ('till-zone-a-0', 'till-zone-b-0')
 
 
 @pytest.fixture
 def client(
     deployment: launcher.Deployment,
 ) -> deployment_client.DeploymentClient:
-    """Return a caller of the small deployment."""
+    """Return a client of the small deployment."""
     return deployment_client.DeploymentClient(deployment)
 
 
-def busy(deployment: launcher.Deployment, names: tuple[str, ...]) -> list[str]:
-    """Return the stand-ins that have executed something."""
+def endpoints_with_runs(
+    deployment: launcher.Deployment, names: tuple[str, ...]
+) -> list[str]:
+    """Return those endpoints that have executed a request."""
     return [name for name in names if deployment.record(name)['runs']]
 
 
-def one_map(deployment: launcher.Deployment) -> int:
-    """Assert P1 on the engine's record; return the steps."""
+def count_single_map_steps(deployment: launcher.Deployment) -> int:
+    """Check that no step used two map versions; return the number of steps."""
     steps = deployment.record('engine-group-0')['steps']
     mixed = [step for step, maps in steps if len(set(maps)) != 1]
     assert mixed == []
     return len(steps)
 
 
-def test_keyed_job_survives_a_killed_entry(
+def test_keyed_job_runs_once_if_an_entry_is_killed(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P4: the till asks another entry; the job runs once."""
-    for name in PLAINS:
+    """A resubmission at another entry must not run the job again."""
+    for name in PLAIN_ENDPOINTS:
         deployment.fault(name, delay_ms=700)
     first = client.later(client.job, 0, 'sale-1')
     deployment.wait_for('the job', lambda: bool(client.runs('/job')))
@@ -49,15 +51,15 @@
     assert len(client.runs('/job')) == 1
 
 
-def test_keyed_job_with_a_killed_agent_is_unknown_for_good(
+def test_keyed_job_of_a_killed_agent_stays_unknown(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P4, P3: the key's memory is lost, so nobody runs it again."""
-    for name in PLAINS:
+    """Without the agent's record, another run could be the second."""
+    for name in PLAIN_ENDPOINTS:
         deployment.fault(name, delay_ms=700)
     first = client.later(client.job, 0, 'sale-2')
     deployment.wait_for('the job', lambda: bool(client.runs('/job')))
-    (ran,) = busy(deployment, PLAINS)
+    (ran,) = endpoints_with_runs(deployment, PLAIN_ENDPOINTS)
     zone = ran.removeprefix('plain-till-')
     agent = f'till-{zone}-0'
     deployment.restart_agent(agent)
@@ -66,35 +68,35 @@
     assert len(client.runs('/job')) == 1
 
 
-def test_frozen_agent_answers_both_submissions_once_thawed(
+def test_frozen_agent_answers_both_submissions_after_thaw(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P4, P2: a pause delays the one answer and doubles nothing."""
-    for name in PLAINS:
+    """A paused agent must not cause a second run or another answer."""
+    for name in PLAIN_ENDPOINTS:
         deployment.fault(name, delay_ms=400)
     first = client.later(client.job, 0, 'sale-3')
     deployment.wait_for('the job', lambda: bool(client.runs('/job')))
-    (ran,) = busy(deployment, PLAINS)
+    (ran,) = endpoints_with_runs(deployment, PLAIN_ENDPOINTS)
     agent = f'till-{ran.removeprefix("plain-till-")}-0'
     deployment.children[agent].freeze()
     second = client.later(client.job, 1, 'sale-3')
-    deployment.wait_for('the claim', lambda: claimed(deployment))
+    deployment.wait_for('the claim', lambda: has_claims(deployment))
     deployment.children[agent].thaw()
     assert first.result().status == second.result().status == 200
     assert first.result().body == second.result().body
     assert len(client.runs('/job')) == 1
 
 
-def claimed(deployment: launcher.Deployment) -> bool:
-    """Return whether any key is claimed."""
+def has_claims(deployment: launcher.Deployment) -> bool:
+    """Return whether the log holds a claim of a key."""
     streams = deployment.record('log')['streams']
     return any(streams[name] for name in streams if 'claims' in name)
 
 
-def test_platform_outage(
+def test_log_outage_stops_only_keyed_calls_without_ticket(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P4, P7, P1: tickets run, other keys wait, fleet and steps go on."""
+    """Without the log, keyed calls need tickets; the rest must go on."""
     ticket = client.post(0, '/v1/tickets', {'service': 'till'})
     key = json.loads(ticket.body)['idempotency_key']
     deployment.fault('log', down=1)
@@ -107,8 +109,10 @@
             )
         ),
     )
-    steps = one_map(deployment)
-    deployment.wait_for('steps', lambda: one_map(deployment) > steps + 100)
+    steps = count_single_map_steps(deployment)
+    deployment.wait_for(
+        'steps', lambda: count_single_map_steps(deployment) > steps + 100
+    )
     assert client.ping(0).status == 200
     assert client.job(0, key).body == client.job(1, key).body
     refused = client.job(0, 'sale-4')
@@ -126,12 +130,12 @@
     assert len(client.runs('/job')) == 2
 
 
-def test_lost_append_answers(
+def test_lost_append_answers_do_not_repeat_the_append(
     deployment: launcher.Deployment,
     client: deployment_client.DeploymentClient,
     tmp_path: pathlib.Path,
 ) -> None:
-    """P4, P7: an append that took effect is neither lost nor doubled."""
+    """An append without an answer must be neither lost nor repeated."""
     deployment.fault('log', lose_answers=2)
     assert client.job(0, 'sale-5').status == 200
     document = json.loads(deployment.fleet_file.read_text())
@@ -149,8 +153,8 @@
 def test_lost_endpoint_answer_is_unknown(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P3, P4: the endpoint ran the job, and its answer is lost, twice."""
-    for name in PLAINS:
+    """A job whose answer was lost must not be reported as not run."""
+    for name in PLAIN_ENDPOINTS:
         deployment.fault(name, lose_answers=2)
     assert client.job(0, 'sale-6').outcome == 'unknown'
     assert client.job(1, 'sale-6').outcome == 'unknown'
@@ -160,17 +164,19 @@
 def test_stream_resumes_after_a_killed_agent(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P2, P1: the other rank goes on, once the agent is replaced."""
+    """A stream must not end or repeat text when its agent is killed."""
     stream = client.later(client.stream, 0, 'Credo', 300)
-    deployment.wait_for('the stream', lambda: bool(streaming(deployment)))
-    (name,) = streaming(deployment)
+    deployment.wait_for(
+        'the stream', lambda: bool(endpoints_in_use(deployment))
+    )
+    (name,) = endpoints_in_use(deployment)
     deployment.restart_agent(name)
     assert stream.result().text() == engine.answer('Credo', 300)
-    one_map(deployment)
+    count_single_map_steps(deployment)
 
 
-def streaming(deployment: launcher.Deployment) -> list[str]:
-    """Return the endpoints where an entry has work."""
+def endpoints_in_use(deployment: launcher.Deployment) -> list[str]:
+    """Return the endpoints with requests of an entry in flight."""
     names = set()
     for entry in deployment.entries():
         status = deployment.entry_status(entry)
@@ -180,50 +186,54 @@
     return sorted(names)
 
 
-def test_frozen_leader_and_stalled_rank(
+def test_group_continues_after_frozen_leader_and_stalled_rank(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P1: the group waits and goes on, with one map in each step."""
-    before = one_map(deployment)
-    leader = deployment.children['group-0-0']
-    leader.freeze()
+    """A paused leader and a stalled rank must not mix two maps."""
+    before = count_single_map_steps(deployment)
+    leader_agent = deployment.children['group-0-0']
+    leader_agent.freeze()
     deployment.fault('engine-group-0', stall=[1])
-    leader.thaw()
+    leader_agent.thaw()
     deployment.fault('engine-group-0', stall=[])
     deployment.wait_for(
-        'more steps', lambda: one_map(deployment) > before + 500
+        'more steps', lambda: count_single_map_steps(deployment) > before + 500
     )
     assert client.stream(0, 'Sanctus', 20).text() == engine.answer(
         'Sanctus', 20
     )
 
 
-def test_replaced_rank(deployment: launcher.Deployment) -> None:
-    """P1: a rank loses engine state and agent; the group forms anew."""
-    before = one_map(deployment)
+def test_group_continues_after_rank_is_replaced(
+    deployment: launcher.Deployment,
+) -> None:
+    """The group must recover when a rank loses its engine and agent."""
+    before = count_single_map_steps(deployment)
     deployment.children['group-0-1'].kill()
     deployment.fault('engine-group-0', replace=[1])
     deployment.restart_agent('group-0-1')
     deployment.wait_for(
-        'more steps', lambda: one_map(deployment) > before + 300
+        'more steps', lambda: count_single_map_steps(deployment) > before + 300
     )
 
 
-def test_graceful_shutdowns_cut_nothing(
+def test_sigterm_does_not_truncate_streams(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P6, P5: SIGTERM at the agent and at the entry, under streams."""
+    """SIGTERM to an agent and an entry must not truncate streams."""
     streams = [
         client.later(client.stream, 0, f'Agnus {n}', 300) for n in range(4)
     ]
-    deployment.wait_for('streams', lambda: len(streaming(deployment)) == 2)
+    deployment.wait_for(
+        'streams', lambda: len(endpoints_in_use(deployment)) == 2
+    )
     entry = deployment.children[deployment.entries()[0]]
     agent = deployment.children['group-0-1']
     entry.terminate()
     agent.terminate()
     for number, stream in enumerate(streams):
-        right = engine.answer(f'Agnus {number}', 300)
-        assert stream.result().text() == right
+        expected = engine.answer(f'Agnus {number}', 300)
+        assert stream.result().text() == expected
     assert entry.wait() == 0
     assert agent.wait() == 0
 
@@ -231,34 +241,34 @@
 def test_drained_endpoint_gets_no_new_work(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """P5: the agent itself refuses, whatever an entry still believes."""
+    """A drain must take effect even while the host list is outdated."""
     deployment.fault('hosts', lag_ms=60_000)
-    assert deployment.operate('drain', AGENTS[0]).returncode == 0
+    assert deployment.operate('drain', PLAIN_AGENTS[0]).returncode == 0
     deployment.wait_for(
         'the drain',
         lambda: all(
-            leaving(deployment, entry, AGENTS[0])
+            is_leaving(deployment, entry, PLAIN_AGENTS[0])
             for entry in deployment.entries()
         ),
     )
-    before = len(deployment.record(PLAINS[0])['runs'])
+    before = len(deployment.record(PLAIN_ENDPOINTS[0])['runs'])
     for _ in range(20):
         assert client.ping(0).status == 200
-    assert len(deployment.record(PLAINS[0])['runs']) == before
+    assert len(deployment.record(PLAIN_ENDPOINTS[0])['runs']) == before
 
 
-def leaving(deployment: launcher.Deployment, entry: str, name: str) -> bool:
-    """Return whether an entry sees the endpoint as leaving."""
+def is_leaving(deployment: launcher.Deployment, entry: str, name: str) -> bool:
+    """Return whether an entry has marked the endpoint as leaving."""
     status = deployment.entry_status(entry)
     assert status is not None
-    rows = [e for e in status['endpoints'] if e['name'] == name]
-    return bool(rows) and rows[0]['leaving']
+    endpoints = [e for e in status['endpoints'] if e['name'] == name]
+    return bool(endpoints) and endpoints[0]['leaving']
 
 
-def test_fresh_entry_without_platform_learns_from_a_peer(
+def test_new_entry_without_log_gets_the_fleet_from_a_peer(
     deployment: launcher.Deployment,
 ) -> None:
-    """P7: a fresh host in a cut-off zone has the newest known fleet."""
+    """An entry that starts while the log is down must get the fleet."""
     deployment.fault('log', down=1)
     peers = [
         deployment.children[name].info['peer_port']
@@ -276,10 +286,10 @@
     )
 
 
-def test_racing_operators(
+def test_second_of_two_racing_operators_gets_a_conflict(
     deployment: launcher.Deployment, tmp_path: pathlib.Path
 ) -> None:
-    """P7, P8: one winner, a conflict for the other, both in the audit."""
+    """Of two changes to the same version, only one may be accepted."""
     document = json.loads(deployment.fleet_file.read_text())
     paths = []
     for name in ('mine', 'yours'):
@@ -298,19 +308,19 @@
 
 
 @pytest.mark.parametrize('delay_ms', [0, 300])
-def test_popularity_that_shifts_changes_the_map(
+def test_shifted_popularity_changes_the_map(
     deployment: launcher.Deployment, delay_ms: int
 ) -> None:
-    """P1, P8: a rebalanced map comes in force, from a slow log too."""
+    """A new map must be used and audited, even with a slow log."""
     deployment.fault('log', delay_ms=delay_ms)
     popularity = [1.0] * 7 + [12.0]
     deployment.fault('engine-group-0', popularity=popularity)
 
-    def newer() -> bool:
+    def has_two_versions() -> bool:
         steps = deployment.record('engine-group-0')['steps']
         return len({maps[0] for _, maps in steps}) > 1
 
-    deployment.wait_for('a new map', newer)
-    one_map(deployment)
+    deployment.wait_for('a new map', has_two_versions)
+    count_single_map_steps(deployment)
     audit = deployment.operate('audit', '--kind=map').stdout
     assert 'skew' in audit
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""Generated pages match the code; every page that is linked exists."""
+"""The generated pages and the links of the documentation."""
 
 import pathlib
 import re
@@ -12,12 +12,12 @@
 
 
 def test_generated_pages_are_current() -> None:
-    """Run ``python -m tools.write_tables`` after a change of tables."""
+    """``python -m tools.write_tables`` must have been run."""
     assert write_tables.stale() == []
 
 
 def test_every_code_and_event_is_used() -> None:
-    """A number that nothing raises or logs has no place in a table."""
+    """Unused codes and events must not be documented."""
     sources = ''.join(
         path.read_text(encoding='utf-8')
         for path in (ROOT / 'src').rglob('*.py')
@@ -36,8 +36,8 @@
     assert unused == []
 
 
-def test_links_lead_somewhere() -> None:
-    """Relative links in all pages name files that exist."""
+def test_relative_links_are_valid() -> None:
+    """Relative links must name existing files."""
     broken = []
     for page in [*ROOT.glob('*.md'), *(ROOT / 'docs').glob('*.md')]:
         text = page.read_text(encoding='utf-8')
