--- a/tests/functional/test_gateway_program.py
+++ b/tests/functional/test_gateway_program.py
@@ -55,14 +55,14 @@
     """Send a GET request and return the response's status and body."""
     reader, writer = await asyncio.open_connection(ADDRESS, port)
     writer.write(f'GET {path} HTTP/1.1\r\nHost: x\r\n\r\n'.encode())
-    answer = await rigs.read_answer(reader)
+    response = await rigs.read_response(reader)
     writer.close()
-    return answer.status, answer.body
+    return response.status, response.body
 
 
 async def wait_ready(port: int) -> None:
     """Wait until the process is ready."""
-    async with asyncio.timeout(rigs.WAIT_S):
+    async with asyncio.timeout(rigs.TIMEOUT_S):
         while True:
             try:
                 if (await get(port, '/api/ready'))[0] == 200:
@@ -74,11 +74,11 @@
 
 async def repeat_sigterm(process: asyncio.subprocess.Process) -> None:
     """Send SIGTERM repeatedly until the process has exited."""
-    target = signals.Target(pid=process.pid)
+    handle = signals.ProcessHandle(pid=process.pid)
     while process.returncode is None:
-        target.send(signal.SIGTERM)
+        handle.send(signal.SIGTERM)
         await asyncio.sleep(0.001)
-    target.close()
+    handle.close()
 
 
 async def run_program(tmp_path: pathlib.Path) -> tuple[int, str]:
@@ -88,10 +88,10 @@
     """
     rig = rigs.Rig()
     await rig.store.start()
-    await rig.configure(rigs.plan())
-    worker = await rig.add_worker('w-1', workers.stream)
-    worker.gap_s = 0.05
-    ports = free_ports.distinct(ADDRESS, 4)
+    await rig.write_plan(rigs.make_plan())
+    worker = await rig.add_worker('w-1', workers.stream_events)
+    worker.event_interval_s = 0.05
+    ports = free_ports.find_ports(ADDRESS, 4)
     callers, health, first, last = ports
     path = tmp_path / 'settings.json'
     path.write_text(
@@ -126,15 +126,17 @@
             assert f'aspenfold_{name}'.encode() in text, name
         process.send_signal(signal.SIGHUP)
         reader, writer = await asyncio.open_connection(ADDRESS, callers)
-        writer.write(rig.head('/stream/')[1])
-        await rigs.until(lambda: worker.runs)
+        writer.write(rig.request_head('/stream/')[1])
+        await rigs.wait_until(lambda: worker.runs)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
         repeated_signals = asyncio.ensure_future(repeat_sigterm(process))
-        answer = await rigs.read_answer(reader)
-        assert answer.whole
-        assert answer.body.count(b'data:') == worker.events
-        output, _ = await asyncio.wait_for(process.communicate(), rigs.WAIT_S)
+        response = await rigs.read_response(reader)
+        assert response.complete
+        assert response.body.count(b'data:') == worker.event_count
+        output, _ = await asyncio.wait_for(
+            process.communicate(), rigs.TIMEOUT_S
+        )
         await repeated_signals
         return process.returncode or 0, output.decode()
     finally:
@@ -191,7 +193,7 @@
 ) -> None:
     """A port in use must not end in a traceback."""
     names = ('peer_port', 'callers', 'health')
-    ports = dict(zip(names, free_ports.distinct(ADDRESS, 3), strict=True))
+    ports = dict(zip(names, free_ports.find_ports(ADDRESS, 3), strict=True))
     path = tmp_path / 'settings.json'
     path.write_text(
         json.dumps(
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -25,12 +25,12 @@
     deployment: launcher.Deployment, names: tuple[str, ...]
 ) -> list[str]:
     """Return those endpoints that have executed a request."""
-    return [name for name in names if deployment.record(name)['runs']]
+    return [name for name in names if deployment.fetch_record(name)['runs']]
 
 
 def count_single_map_steps(deployment: launcher.Deployment) -> int:
     """Check that no step used two map versions; return the number of steps."""
-    steps = deployment.record('engine-group-0')['steps']
+    steps = deployment.fetch_record('engine-group-0')['steps']
     mixed = [step for step, maps in steps if len(set(maps)) != 1]
     assert mixed == []
     return len(steps)
@@ -41,14 +41,14 @@
 ) -> None:
     """A resubmission at another entry must not run the job again."""
     for name in PLAIN_ENDPOINTS:
-        deployment.fault(name, delay_ms=700)
-    first = client.later(client.job, 0, 'sale-1')
-    deployment.wait_for('the job', lambda: bool(client.runs('/job')))
-    deployment.children[deployment.entries()[0]].kill()
+        deployment.set_faults(name, delay_ms=700)
+    first = client.submit(client.job, 0, 'sale-1')
+    deployment.wait_for('the job', lambda: bool(client.executions('/job')))
+    deployment.processes[deployment.entry_names()[0]].kill()
     second = client.job(1, 'sale-1')
     assert first.result().status == 0
     assert second.status == 200
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_keyed_job_of_a_killed_agent_stays_unknown(
@@ -56,16 +56,16 @@
 ) -> None:
     """Without the agent's record, another run could be the second."""
     for name in PLAIN_ENDPOINTS:
-        deployment.fault(name, delay_ms=700)
-    first = client.later(client.job, 0, 'sale-2')
-    deployment.wait_for('the job', lambda: bool(client.runs('/job')))
+        deployment.set_faults(name, delay_ms=700)
+    first = client.submit(client.job, 0, 'sale-2')
+    deployment.wait_for('the job', lambda: bool(client.executions('/job')))
     (ran,) = endpoints_with_runs(deployment, PLAIN_ENDPOINTS)
     zone = ran.removeprefix('plain-till-')
     agent = f'till-{zone}-0'
     deployment.restart_agent(agent)
     assert first.result().outcome == 'unknown'
     assert client.job(1, 'sale-2').outcome == 'unknown'
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_frozen_agent_answers_both_submissions_after_thaw(
@@ -73,23 +73,23 @@
 ) -> None:
     """A paused agent must not cause a second run or another answer."""
     for name in PLAIN_ENDPOINTS:
-        deployment.fault(name, delay_ms=400)
-    first = client.later(client.job, 0, 'sale-3')
-    deployment.wait_for('the job', lambda: bool(client.runs('/job')))
+        deployment.set_faults(name, delay_ms=400)
+    first = client.submit(client.job, 0, 'sale-3')
+    deployment.wait_for('the job', lambda: bool(client.executions('/job')))
     (ran,) = endpoints_with_runs(deployment, PLAIN_ENDPOINTS)
     agent = f'till-{ran.removeprefix("plain-till-")}-0'
-    deployment.children[agent].freeze()
-    second = client.later(client.job, 1, 'sale-3')
+    deployment.processes[agent].freeze()
+    second = client.submit(client.job, 1, 'sale-3')
     deployment.wait_for('the claim', lambda: has_claims(deployment))
-    deployment.children[agent].thaw()
+    deployment.processes[agent].thaw()
     assert first.result().status == second.result().status == 200
     assert first.result().body == second.result().body
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def has_claims(deployment: launcher.Deployment) -> bool:
     """Return whether the log holds a claim of a key."""
-    streams = deployment.record('log')['streams']
+    streams = deployment.fetch_record('log')['streams']
     return any(streams[name] for name in streams if 'claims' in name)
 
 
@@ -99,13 +99,13 @@
     """Without the log, keyed calls need tickets; the rest must go on."""
     ticket = client.post(0, '/v1/tickets', {'service': 'till'})
     key = json.loads(ticket.body)['idempotency_key']
-    deployment.fault('log', down=1)
+    deployment.set_faults('log', down=1)
     deployment.wait_for(
         'the entries to notice',
         lambda: (
             not any(
-                (deployment.entry_status(name) or {}).get('log_up')
-                for name in deployment.entries()
+                (deployment.fetch_entry_status(name) or {}).get('log_up')
+                for name in deployment.entry_names()
             )
         ),
     )
@@ -119,15 +119,15 @@
     assert refused.status == 503
     assert refused.outcome == 'unknown'
     assert 'retry-after' in refused.headers
-    assert len(client.runs('/job')) == 1
-    status = deployment.entry_status(deployment.entries()[0])
+    assert len(client.executions('/job')) == 1
+    status = deployment.fetch_entry_status(deployment.entry_names()[0])
     assert status is not None
     assert status['version'] > 0
-    deployment.fault('log', down=0)
+    deployment.set_faults('log', down=0)
     deployment.wait_for(
         'the log', lambda: client.job(0, 'sale-4').status == 200
     )
-    assert len(client.runs('/job')) == 2
+    assert len(client.executions('/job')) == 2
 
 
 def test_lost_append_answers_do_not_repeat_the_append(
@@ -136,18 +136,20 @@
     tmp_path: pathlib.Path,
 ) -> None:
     """An append without an answer must be neither lost nor repeated."""
-    deployment.fault('log', lose_answers=2)
+    deployment.set_faults('log', lose_answers=2)
     assert client.job(0, 'sale-5').status == 200
     document = json.loads(deployment.fleet_file.read_text())
     document['name'] = 'renamed'
     changed = tmp_path / 'changed.json'
     changed.write_text(json.dumps(document))
-    deployment.fault('log', lose_answers=1)
-    result = deployment.operate('apply', str(changed))
+    deployment.set_faults('log', lose_answers=1)
+    result = deployment.run_operator_command('apply', str(changed))
     assert result.returncode == 0, result.stderr
-    history = json.loads(deployment.operate('history', '--json').stdout)
+    history = json.loads(
+        deployment.run_operator_command('history', '--json').stdout
+    )
     assert len(history) == 2
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_lost_endpoint_answer_is_unknown(
@@ -155,31 +157,31 @@
 ) -> None:
     """A job whose answer was lost must not be reported as not run."""
     for name in PLAIN_ENDPOINTS:
-        deployment.fault(name, lose_answers=2)
+        deployment.set_faults(name, lose_answers=2)
     assert client.job(0, 'sale-6').outcome == 'unknown'
     assert client.job(1, 'sale-6').outcome == 'unknown'
-    assert len(client.runs('/job')) == 1
+    assert len(client.executions('/job')) == 1
 
 
 def test_stream_resumes_after_a_killed_agent(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """A stream must not end or repeat text when its agent is killed."""
-    stream = client.later(client.stream, 0, 'Credo', 300)
+    stream = client.submit(client.stream, 0, 'Credo', 300)
     deployment.wait_for(
         'the stream', lambda: bool(endpoints_in_use(deployment))
     )
     (name,) = endpoints_in_use(deployment)
     deployment.restart_agent(name)
-    assert stream.result().text() == engine.answer('Credo', 300)
+    assert stream.result().text() == engine.generate_text('Credo', 300)
     count_single_map_steps(deployment)
 
 
 def endpoints_in_use(deployment: launcher.Deployment) -> list[str]:
     """Return the endpoints with requests of an entry in flight."""
     names = set()
-    for entry in deployment.entries():
-        status = deployment.entry_status(entry)
+    for entry in deployment.entry_names():
+        status = deployment.fetch_entry_status(entry)
         for endpoint in status['endpoints'] if status else []:
             if endpoint['in_flight_here']:
                 names.add(endpoint['name'])
@@ -191,15 +193,15 @@
 ) -> None:
     """A paused leader and a stalled rank must not mix two maps."""
     before = count_single_map_steps(deployment)
-    leader_agent = deployment.children['group-0-0']
+    leader_agent = deployment.processes['group-0-0']
     leader_agent.freeze()
-    deployment.fault('engine-group-0', stall=[1])
+    deployment.set_faults('engine-group-0', stall=[1])
     leader_agent.thaw()
-    deployment.fault('engine-group-0', stall=[])
+    deployment.set_faults('engine-group-0', stall=[])
     deployment.wait_for(
         'more steps', lambda: count_single_map_steps(deployment) > before + 500
     )
-    assert client.stream(0, 'Sanctus', 20).text() == engine.answer(
+    assert client.stream(0, 'Sanctus', 20).text() == engine.generate_text(
         'Sanctus', 20
     )
 
@@ -209,8 +211,8 @@
 ) -> None:
     """The group must recover when a rank loses its engine and agent."""
     before = count_single_map_steps(deployment)
-    deployment.children['group-0-1'].kill()
-    deployment.fault('engine-group-0', replace=[1])
+    deployment.processes['group-0-1'].kill()
+    deployment.set_faults('engine-group-0', replace=[1])
     deployment.restart_agent('group-0-1')
     deployment.wait_for(
         'more steps', lambda: count_single_map_steps(deployment) > before + 300
@@ -222,17 +224,17 @@
 ) -> None:
     """SIGTERM to an agent and an entry must not truncate streams."""
     streams = [
-        client.later(client.stream, 0, f'Agnus {n}', 300) for n in range(4)
+        client.submit(client.stream, 0, f'Agnus {n}', 300) for n in range(4)
     ]
     deployment.wait_for(
         'streams', lambda: len(endpoints_in_use(deployment)) == 2
     )
-    entry = deployment.children[deployment.entries()[0]]
-    agent = deployment.children['group-0-1']
+    entry = deployment.processes[deployment.entry_names()[0]]
+    agent = deployment.processes['group-0-1']
     entry.terminate()
     agent.terminate()
     for number, stream in enumerate(streams):
-        expected = engine.answer(f'Agnus {number}', 300)
+        expected = engine.generate_text(f'Agnus {number}', 300)
         assert stream.result().text() == expected
     assert entry.wait() == 0
     assert agent.wait() == 0
@@ -242,24 +244,27 @@
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
     """A drain must take effect even while the host list is outdated."""
-    deployment.fault('hosts', lag_ms=60_000)
-    assert deployment.operate('drain', PLAIN_AGENTS[0]).returncode == 0
+    deployment.set_faults('hosts', lag_ms=60_000)
+    assert (
+        deployment.run_operator_command('drain', PLAIN_AGENTS[0]).returncode
+        == 0
+    )
     deployment.wait_for(
         'the drain',
         lambda: all(
             is_leaving(deployment, entry, PLAIN_AGENTS[0])
-            for entry in deployment.entries()
+            for entry in deployment.entry_names()
         ),
     )
-    before = len(deployment.record(PLAIN_ENDPOINTS[0])['runs'])
+    before = len(deployment.fetch_record(PLAIN_ENDPOINTS[0])['runs'])
     for _ in range(20):
         assert client.ping(0).status == 200
-    assert len(deployment.record(PLAIN_ENDPOINTS[0])['runs']) == before
+    assert len(deployment.fetch_record(PLAIN_ENDPOINTS[0])['runs']) == before
 
 
 def is_leaving(deployment: launcher.Deployment, entry: str, name: str) -> bool:
     """Return whether an entry has marked the endpoint as leaving."""
-    status = deployment.entry_status(entry)
+    status = deployment.fetch_entry_status(entry)
     assert status is not None
     endpoints = [e for e in status['endpoints'] if e['name'] == name]
     return bool(endpoints) and endpoints[0]['leaving']
@@ -269,10 +274,10 @@
     deployment: launcher.Deployment,
 ) -> None:
     """An entry that starts while the log is down must get the fleet."""
-    deployment.fault('log', down=1)
+    deployment.set_faults('log', down=1)
     peers = [
-        deployment.children[name].info['peer_port']
-        for name in deployment.entries()
+        deployment.processes[name].ready_message['peer_port']
+        for name in deployment.entry_names()
     ]
     deployment.entry_peers = peers
     fresh = deployment.start_entry('entry-fresh', 'zone-a')
@@ -280,7 +285,9 @@
     deployment.wait_for(
         'the fleet',
         lambda: (
-            (deployment.entry_status('entry-fresh') or {}).get('version', 0)
+            (deployment.fetch_entry_status('entry-fresh') or {}).get(
+                'version', 0
+            )
             > 0
         ),
     )
@@ -297,13 +304,13 @@
         path = tmp_path / f'{name}.json'
         path.write_text(json.dumps(document))
         paths.append(str(path))
-    first = deployment.operate('apply', paths[0], '--base=1')
-    second = deployment.operate('apply', paths[1], '--base=1')
+    first = deployment.run_operator_command('apply', paths[0], '--base=1')
+    second = deployment.run_operator_command('apply', paths[1], '--base=1')
     assert first.returncode == 0
     assert second.returncode == 3
     assert '4001' in second.stderr
     assert '/name' in second.stderr
-    shown = json.loads(deployment.operate('show').stdout)
+    shown = json.loads(deployment.run_operator_command('show').stdout)
     assert shown['name'] == 'mine'
 
 
@@ -312,15 +319,15 @@
     deployment: launcher.Deployment, delay_ms: int
 ) -> None:
     """A new map must be used and audited, even with a slow log."""
-    deployment.fault('log', delay_ms=delay_ms)
+    deployment.set_faults('log', delay_ms=delay_ms)
     popularity = [1.0] * 7 + [12.0]
-    deployment.fault('engine-group-0', popularity=popularity)
+    deployment.set_faults('engine-group-0', popularity=popularity)
 
     def has_two_versions() -> bool:
-        steps = deployment.record('engine-group-0')['steps']
+        steps = deployment.fetch_record('engine-group-0')['steps']
         return len({maps[0] for _, maps in steps}) > 1
 
     deployment.wait_for('a new map', has_two_versions)
     count_single_map_steps(deployment)
-    audit = deployment.operate('audit', '--kind=map').stdout
+    audit = deployment.run_operator_command('audit', '--kind=map').stdout
     assert 'skew' in audit
--- a/tests/soak/ledger.py
+++ b/tests/soak/soak_history.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Asked:
+class RequestRecord:
     """One request of a caller, and what came of it."""
 
     attempt: str
@@ -35,24 +35,24 @@
     incarnation: int
     sent_at: float
     left_early: bool = False
-    answer: gateway_rig.Answer | None = None
+    answer: gateway_rig.Response | None = None
     ended_at: float = 0.0
 
     @property
     def served(self) -> bool:
         """Whether the caller got a whole success."""
         found = self.answer
-        return found is not None and found.whole and found.status == 200
+        return found is not None and found.complete and found.status == 200
 
 
-class Ledger:
+class SoakHistory:
     """All requests, and the spans in which something was disturbed."""
 
     def __init__(self) -> None:
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, RequestRecord] = {}
         self._spans: dict[str, list[list[float]]] = {}
 
-    def add(self, asked: Asked) -> None:
+    def add(self, asked: RequestRecord) -> None:
         """Note a request before it is sent."""
         self.asked[asked.attempt] = asked
 
