--- a/src/aspenfold/_internal/processes/entry.py
+++ b/src/aspenfold/_internal/processes/entry.py
@@ -78,7 +78,7 @@
         self._validator = request_validator.RequestValidator()
         self._loop = asyncio.get_running_loop()
         self._feed = platform_feed.PlatformFeed(entry=self, rng=self._rng)
-        self.report_poller = report_poller.ReportPoller(entry=self)
+        self._report_poller = report_poller.ReportPoller(entry=self)
         self._responses: dict[str, response_queue.ResponseQueue] = {}
         self._call_starts: dict[str, tuple[str, str, datetime.datetime]] = {}
         self._answer_streams: dict[int, asyncio.Task[None]] = {}
@@ -89,17 +89,19 @@
         """Serve until SIGTERM or SIGINT, then drain and stop."""
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(signal_number, self._stop.set)
-        peers = grpclib.server.Server([peer_service.PeerService(entry=self)])
-        auth.require_system_key(peers, self.cfg.system_key)
+        peer_server = grpclib.server.Server(
+            [peer_service.PeerService(entry=self)]
+        )
+        auth.require_system_key(peer_server, self.cfg.system_key)
         peer_port = await listen.start(
-            peers, self.cfg.peer_listen, 'peer_listen'
+            peer_server, self.cfg.peer_listen, 'peer_listen'
         )
         api = http_api.HttpApi(loop=self, cfg=self.cfg, clock=self.clock)
         server = http_api.HttpServer(api=api, cfg=self.cfg)
         port = server.start()
         self._feed.start()
         self.tasks.spawn(self._run_timers())
-        self.tasks.spawn(self.report_poller.run())
+        self.tasks.spawn(self._report_poller.run())
         print(
             json.dumps(
                 {'ready': self.name, 'port': port, 'peer_port': peer_port}
@@ -110,7 +112,7 @@
         await self._stop.wait()
         await self._drain()
         await self._loop.run_in_executor(None, server.stop)
-        peers.close()
+        peer_server.close()
         self.tasks.cancel()
         self._feed.close()
         self.clients.close()
@@ -126,7 +128,7 @@
 
     def on_caller_left(self, request_id: str) -> None:
         """Handle a caller that closed its connection."""
-        self._loop.call_soon_threadsafe(self._caller_left, request_id)
+        self._loop.call_soon_threadsafe(self._handle_caller_left, request_id)
 
     def admin(
         self, name: str, body: dict[str, typing.Any]
@@ -134,8 +136,8 @@
         """Run the administrative request ``name`` and return its result."""
         handlers = {
             'status': lambda: status.report(self),
-            'ready': self._ready,
-            'ticket': lambda: self._ticket(body),
+            'ready': self._readiness,
+            'ticket': lambda: self._create_ticket(body),
             'explain': lambda: status.explain(self, body),
         }
         return self._run_on_loop(handlers[name])
@@ -198,14 +200,16 @@
         )
         self.apply(self.kernel.submit(call, self.clock.now()))
 
-    def _caller_left(self, request_id: str) -> None:
+    def _handle_caller_left(self, request_id: str) -> None:
         if self._responses.pop(request_id, None) is None:
             return
         self._call_starts.pop(request_id, None)
         events.emit(events.Event.CALLER_LEFT, call=request_id)
         self.apply(self.kernel.on_caller_left(request_id))
 
-    def _ticket(self, body: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    def _create_ticket(
+        self, body: dict[str, typing.Any]
+    ) -> dict[str, typing.Any]:
         fleet = self.kernel.fleet
         if fleet is not None:
             self._validator.set_fleet(fleet)
@@ -261,28 +265,32 @@
                 case actions.AppendClaim(stream=stream, claim=claim):
                     self._feed.append_claim(stream, claim)
                 case actions.DeliverHead(call_id=call_id, head=head):
-                    self._put(call_id, head)
+                    self._put_part(call_id, head)
                 case actions.DeliverItems():
                     part = response_queue.Chunk(
                         first=action.first, items=action.items
                     )
-                    self._put(action.call_id, part)
+                    self._put_part(action.call_id, part)
                 case actions.Finish(call_id=call_id, total=total):
-                    self._end(call_id, response_queue.Complete(total=total))
+                    self._end_response(
+                        call_id, response_queue.Complete(total=total)
+                    )
                 case actions.Fail(call_id=call_id, failure=failure):
-                    self._end(call_id, response_queue.Failed(failure=failure))
+                    self._end_response(
+                        call_id, response_queue.Failed(failure=failure)
+                    )
 
-    def _put(self, call_id: str, part: response_queue.Part) -> None:
+    def _put_part(self, call_id: str, part: response_queue.Part) -> None:
         response = self._responses.get(call_id)
         if response is not None:
             response.put(part)
 
-    def _end(
+    def _end_response(
         self,
         call_id: str,
         part: response_queue.Complete | response_queue.Failed,
     ) -> None:
-        self._put(call_id, part)
+        self._put_part(call_id, part)
         self._responses.pop(call_id, None)
         started = self._call_starts.pop(call_id, None)
         if started is not None:
@@ -353,7 +361,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
             self.apply(self.kernel.tick(self.clock.now()))
 
-    def _ready(self) -> dict[str, typing.Any]:
+    def _readiness(self) -> dict[str, typing.Any]:
         state = self.kernel.fleet_reader.state
         ready = state.version > 0 and not self.kernel.draining
         return {
@@ -382,7 +390,7 @@
         )
         for call_id in list(self._responses):
             self.apply(self.kernel.on_caller_left(call_id))
-            self._end(call_id, response_queue.Failed(failure=failure))
+            self._end_response(call_id, response_queue.Failed(failure=failure))
 
     def _add_gauges(self) -> None:
         add_gauge = self.metrics.add_gauge
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -228,11 +228,11 @@
             self._peers.plan_offset = self._feeds.plan.offset
             self._peers.is_reader = self._selection.is_reader(now)
             self._peers.recovery_ages = self._core.outages.recent_recoveries()
-            due = self._peers.next_update(now)
-            if due is None:
+            outgoing = self._peers.next_update(now)
+            if outgoing is None:
                 continue
-            for address in due.addresses:
-                peer_socket.send(due.data, address.host, address.port)
+            for address in outgoing.addresses:
+                peer_socket.send(outgoing.data, address.host, address.port)
 
     def _is_passive(self) -> bool:
         return self._selection.is_passive(self._clock.now())
@@ -357,12 +357,12 @@
             name=self._cfg.name,
             in_flight=self._in_flight,
         )
-        resigning = self._tasks.spawn(self._resign())
+        resign_task = self._tasks.spawn(self._resign())
         await asyncio.sleep(min(BALANCER_DELAY_S, self._cfg.grace_s / 2))
         self._core.refusing = True
         self._caller_server.close()
         while loop.time() < drain_deadline:
-            if not self._in_flight and resigning.done():
+            if not self._in_flight and resign_task.done():
                 break
             self._caller_server.close_idle()
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -106,7 +106,7 @@
         self._claim_writer.append(stream, claim)
 
     def close(self) -> None:
-        """Stop reading."""
+        """Stop the threads that read and append."""
         self._log_tail.close()
         self._executor.shutdown(wait=False, cancel_futures=True)
 
