--- a/src/aspenfold/_internal/gateway/refusal.py
+++ b/src/aspenfold/_internal/gateway/refusal.py
@@ -18,8 +18,8 @@
     Code.ENDPOINT_LOST: 502,
     Code.FATE_UNKNOWN: 504,
 }
-"""HTTP status by result code.  Callers take only a 503 as proof that
-their request has not run."""
+"""HTTP status by result code.  Of these, only 503 promises that the
+request has not run."""
 
 RETRY_AFTER: dict[Code, datetime.timedelta] = {
     # A new process reads the first plan within milliseconds.
