--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -9,7 +9,7 @@
 from aspenfold._internal.expertmaps import rank_protocol
 from aspenfold._internal.gateway import outage as outage_module
 from tests.lib import gateway_rig as rigs
-from tests.soak import group as group_module
+from tests.soak import rank_group
 
 RANKS = 2
 
@@ -17,14 +17,14 @@
 """Time the stand-in takes to release a pass, in seconds."""
 
 
-class SlowRelease(group_module.Group):
+class SlowRelease(rank_group.RankGroup):
     """A group that releases held passes slowly."""
 
     async def order(
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
         """Apply an order; delay a release."""
-        if group_module.OPS[message['op']] is rank_protocol.Op.RELEASE:
+        if rank_group.OPS[message['op']] is rank_protocol.Op.RELEASE:
             await asyncio.sleep(RELEASE_S)
         return await super().order(rank, message)
 
@@ -33,7 +33,7 @@
     """Return a plan with the group's sizes for the model service."""
     engine = {
         'sets': 1,
-        'experts': group_module.EXPERTS,
+        'experts': rank_group.EXPERTS,
         'placements': 6,
         'spare': 4,
     }
@@ -41,15 +41,15 @@
     return rigs.make_plan(services=services)
 
 
-async def add_ranks(rig: rigs.Rig, group: group_module.Group) -> None:
+async def add_ranks(rig: rigs.Rig, group: rank_group.RankGroup) -> None:
     """Start the group's ranks and register them."""
     for number in range(RANKS):
-        worker = group_module.RankWorker(
+        worker = rank_group.RankWorker(
             f'rank-{number}', group=group, rank=number
         )
         await worker.start()
         rig.workers.append(worker)
-        entry = worker.entry('model')
+        entry = worker.store_record('model')
         await rig.store.put(rigs.endpoint_records.TOPIC, worker.name, entry)
 
 
@@ -57,7 +57,7 @@
     rig: rigs.Rig,
 ) -> tuple[workers.Worker, outage_module.Outage]:
     """Add a group that was unavailable for most of the usual outage."""
-    worker = await rig.add_worker('w-1', workers.group_down, 'model')
+    worker = await rig.add_worker('w-1', workers.group_unavailable, 'model')
     await rig.wait_until_ready()
     assert (await rig.request('/model/')).status == 503
     outage = rig.gateway.outage('model')
@@ -74,13 +74,15 @@
         async with rigs.running_rig(plan()) as rig:
             await add_ranks(rig, group)
             passing = asyncio.ensure_future(group.run())
-            holder = group.world.ranks[0]
+            holder = group.simulation.ranks[0]
             await rigs.wait_until(lambda: holder.held_pass is not None)
-            rig.store.trouble = rig.store.trouble.RESET
+            rig.store.fault = rig.store.fault.RESET
             await rig.gateway.drain()
             assert holder.held_pass is None
-            before = group.world.pass_count
-            await rigs.wait_until(lambda: group.world.pass_count > before + 3)
+            before = group.simulation.pass_count
+            await rigs.wait_until(
+                lambda: group.simulation.pass_count > before + 3
+            )
             assert group.violation is None
             passing.cancel()
             group.stop()
@@ -99,7 +101,7 @@
             )
             await asyncio.sleep(0.1)
             assert not waiting.done()
-            worker.script = workers.stream
+            worker.script = workers.stream_events
             assert (await rig.request('/model/')).status == 200
             answer = await waiting
             assert answer.status == 200
@@ -118,7 +120,7 @@
             answer = await rig.request('/model/', **rigs.deadline_header(3.0))
             assert answer.status == 503
             assert 'retry-after' in answer.headers
-            assert worker.runs.total() == 0
+            assert worker.executions.total() == 0
 
     asyncio.run(run())
 
@@ -131,7 +133,9 @@
             '/model/', 'streaming', service='model', timeout_ms=8000
         )
         async with rigs.running_rig(rigs.make_plan(routes=[route])) as rig:
-            worker = await rig.add_worker('w-1', workers.group_down, 'model')
+            worker = await rig.add_worker(
+                'w-1', workers.group_unavailable, 'model'
+            )
             await rig.wait_until_ready()
             waiting = [
                 asyncio.ensure_future(rig.request('/model/')) for _ in range(4)
@@ -141,7 +145,7 @@
             )
             await asyncio.sleep(0.1)
             assert not any(task.done() for task in waiting)
-            worker.script = workers.stream
+            worker.script = workers.stream_events
             assert (await rig.request('/model/')).status == 200
             answers = [await task for task in waiting]
             # The budget of a new process allows one retry.
@@ -157,8 +161,10 @@
 
     async def run() -> None:
         async with rigs.running_rig() as rig:
-            down = await rig.add_worker('w-1', workers.group_down, 'model')
-            await rig.add_worker('w-2', workers.stream, 'model')
+            down = await rig.add_worker(
+                'w-1', workers.group_unavailable, 'model'
+            )
+            await rig.add_worker('w-2', workers.stream_events, 'model')
             await rig.wait_until_ready()
             known = rig.gateway._core.directory
             for name, group in (('w-1', 'g-1'), ('w-2', 'g-2')):
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -133,7 +133,7 @@
     async def add_worker(
         self,
         name: str,
-        script: platform_worker.Script = platform_worker.whole,
+        script: platform_worker.Script = platform_worker.complete,
         service: str = 'plain',
     ) -> platform_worker.Worker:
         """Start an endpoint and write its record to the store."""
@@ -142,7 +142,7 @@
         await worker.start()
         self.workers.append(worker)
         await self.store.put(
-            endpoint_records.TOPIC, name, worker.entry(service)
+            endpoint_records.TOPIC, name, worker.store_record(service)
         )
         return worker
 
@@ -246,7 +246,7 @@
 
     The path excludes the reports that a group's leader reads.
     """
-    return sum(request.target == path for request in worker.arrivals)
+    return sum(request.target == path for request in worker.requests)
 
 
 async def wait_until(condition: abc.Callable[[], object]) -> None:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -9,29 +9,31 @@
 from aspenfold_standins import metadata_store
 from aspenfold_standins import platform_worker
 
-from tests.soak import group as group_module
-from tests.soak import ledger as ledger_module
 from tests.soak import links
-from tests.soak import system as system_module
+from tests.soak import rank_group
+from tests.soak import soak_history
+from tests.soak import system_under_test
 
-Fault = abc.Callable[['Faults'], abc.Awaitable[None]]
+Fault = abc.Callable[['FaultInjector'], abc.Awaitable[None]]
 
 LAST_S = (0.3, 3.5)
 """How long a fault lasts: from a blink to over every time limit."""
 
 MISBEHAVIOURS = (
     platform_worker.run_and_reset,
-    platform_worker.truncated,
-    platform_worker.others_answer,
-    platform_worker.not_http,
-    platform_worker.unframed_reset,
-    platform_worker.full,
-    platform_worker.failing,
-    platform_worker.silent_503,
-    platform_worker.hang,
+    platform_worker.truncated_body,
+    platform_worker.wrong_attempt_id,
+    platform_worker.invalid_http,
+    platform_worker.no_content_length_reset,
+    platform_worker.at_capacity,
+    platform_worker.server_error,
+    platform_worker.unmarked_503,
+    platform_worker.never_respond,
 )
 
-LINK_TROUBLES = tuple(t for t in links.Trouble if t is not links.Trouble.NONE)
+LINK_TROUBLES = tuple(
+    t for t in links.LinkFault if t is not links.LinkFault.NONE
+)
 
 AGENT_GAP_S = 2.0
 """Mean time between two signals to agents of ranks."""
@@ -44,18 +46,20 @@
 )
 
 STORE_TROUBLES = tuple(
-    t for t in metadata_store.Trouble if t is not metadata_store.Trouble.NONE
+    t
+    for t in metadata_store.StoreFault
+    if t is not metadata_store.StoreFault.NONE
 )
 
 
-class Faults:
+class FaultInjector:
     """Draws faults and carries them out, several at a time."""
 
     def __init__(
         self,
         *,
-        system: system_module.System,
-        ledger: ledger_module.Ledger,
+        system: system_under_test.SystemUnderTest,
+        ledger: soak_history.SoakHistory,
         rng: random.Random,
         agent_rng: random.Random,
         gap_s: float,
@@ -99,10 +103,10 @@
     async def _last(self) -> None:
         await asyncio.sleep(self._rng.uniform(*LAST_S))
 
-    def _gateway(self) -> system_module.Gateway:
+    def _gateway(self) -> system_under_test.GatewayProgram:
         return self._rng.choice(self._system.gateways)
 
-    def _endpoint(self, service: str = '') -> system_module.Endpoint:
+    def _endpoint(self, service: str = '') -> system_under_test.Endpoint:
         found = [
             e
             for e in self._system.endpoints
@@ -189,16 +193,16 @@
         endpoint = self._endpoint()
         await self._harm(endpoint.link, endpoint.worker.name, 'gateways')
 
-    async def _harm(self, link: links.Link, name: str, what: str) -> None:
-        if link.trouble is not links.Trouble.NONE:
+    async def _harm(self, link: links.LinkProxy, name: str, what: str) -> None:
+        if link.fault is not links.LinkFault.NONE:
             return
         trouble = self._rng.choice(LINK_TROUBLES)
         self._tell(f'{trouble.value} between {name} and {what}')
         span = self._ledger.begin(name)
-        link.begin(trouble)
+        link.start_fault(trouble)
         await self._last()
-        if link.trouble is trouble:
-            link.end()
+        if link.fault is trouble:
+            link.end_fault()
         self._ledger.end(span)
 
     # -- the store -------------------------------------------------------
@@ -206,21 +210,21 @@
     async def harm_store(self) -> None:
         """Let the store misbehave towards all; entries may lapse."""
         store = self._system.store
-        if store.trouble is not metadata_store.Trouble.NONE:
+        if store.fault is not metadata_store.StoreFault.NONE:
             return
         trouble = self._rng.choice(STORE_TROUBLES)
         self._tell(f'store {trouble.value}')
         span = self._ledger.begin('store')
-        if trouble is metadata_store.Trouble.STALE:
-            store.begin_stale()
-        store.trouble = trouble
+        if trouble is metadata_store.StoreFault.STALE_READS:
+            store.start_stale_reads()
+        store.fault = trouble
         lapsed = self._endpoint('plain')
-        topic = system_module.endpoint_records.TOPIC
-        down = trouble is not metadata_store.Trouble.STALE
+        topic = system_under_test.endpoint_records.TOPIC
+        down = trouble is not metadata_store.StoreFault.STALE_READS
         if down and self._rng.random() < 0.5:
-            store.lapse(topic, lapsed.worker.name)
+            store.lose_key(topic, lapsed.worker.name)
         await self._last()
-        store.trouble = metadata_store.Trouble.NONE
+        store.fault = metadata_store.StoreFault.NONE
         await asyncio.sleep(self._rng.uniform(0.0, 1.5))
         if lapsed in self._system.endpoints:
             await self._system.tell(lapsed)
@@ -231,10 +235,10 @@
         self._tell('store trimmed')
         span = self._ledger.begin('store')
         for topic in (
-            system_module.endpoint_records.TOPIC,
-            system_module.config.TOPIC,
+            system_under_test.endpoint_records.TOPIC,
+            system_under_test.config.TOPIC,
         ):
-            self._system.store.drop_history(topic)
+            self._system.store.compact(topic)
         self._ledger.end(span)
 
     # -- endpoints -------------------------------------------------------
@@ -247,7 +251,7 @@
         span = self._ledger.begin(endpoint.worker.name)
         endpoint.worker.script = script
         await self._last()
-        endpoint.worker.script = system_module.sound
+        endpoint.worker.script = system_under_test.sound
         self._ledger.end(span)
 
     async def crash_endpoint(self) -> None:
@@ -293,9 +297,9 @@
     async def delay_orders(self) -> None:
         """Let ranks carry orders out late, or lose their answers."""
         self._tell('orders late')
-        self._system.group.lost = group_module.TROUBLED
+        self._system.group.lost = rank_group.TROUBLED
         await self._last()
-        self._system.group.lost = group_module.CALM
+        self._system.group.lost = rank_group.CALM
 
     # -- the plan --------------------------------------------------------
 
@@ -308,19 +312,19 @@
 
 
 FAULTS: tuple[Fault, ...] = (
-    Faults.stop_gateway,
-    Faults.kill_gateways,
-    Faults.pause_gateway,
-    Faults.reload_gateway,
-    Faults.harm_front,
-    Faults.harm_store_link,
-    Faults.harm_endpoint_link,
-    Faults.harm_store,
-    Faults.trim,
-    Faults.misbehave,
-    Faults.crash_endpoint,
-    Faults.drain_endpoint,
-    Faults.crash_rank,
-    Faults.delay_orders,
-    Faults.change_plan,
+    FaultInjector.stop_gateway,
+    FaultInjector.kill_gateways,
+    FaultInjector.pause_gateway,
+    FaultInjector.reload_gateway,
+    FaultInjector.harm_front,
+    FaultInjector.harm_store_link,
+    FaultInjector.harm_endpoint_link,
+    FaultInjector.harm_store,
+    FaultInjector.trim,
+    FaultInjector.misbehave,
+    FaultInjector.crash_endpoint,
+    FaultInjector.drain_endpoint,
+    FaultInjector.crash_rank,
+    FaultInjector.delay_orders,
+    FaultInjector.change_plan,
 )
