--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -10,13 +10,13 @@
 from tests.lib import simulated_cluster
 
 FAULT_PERIOD_MS = 6000
-"""How long callers submit calls and faults begin."""
+"""Length of the period in which calls and faults begin."""
 
 RECOVERY_PERIOD_MS = 14000
-"""Time after the end of all faults for calls to end."""
+"""Length of the period without faults at the end of a run."""
 
 RESUBMIT_DELAY_RANGE_MS = (80, 1500)
-"""Range of the time before a caller submits a key again."""
+"""Range of the delay before a caller submits a key again."""
 
 MAX_SUBMISSIONS = 4
 Fault = abc.Callable[['ChaosRun'], None]
--- a/tests/lib/deployment_client.py
+++ b/tests/lib/deployment_client.py
@@ -52,7 +52,7 @@
         key: str = '',
         **headers: str,
     ) -> Response:
-        """Send one request and return its answer."""
+        """Send a request to entry number ``entry``; return the response."""
         name = self.deployment.entry_names()[entry]
         url = self.deployment.processes[name].url + path
         sent_headers = {**HEADERS, **headers}
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -42,8 +42,8 @@
     complete: bool = False
 
 
-def make_route(path: str, kind: str, **more: object) -> dict[str, object]:
-    """Return a route of a plan; ``more`` sets further fields."""
+def make_route(path: str, kind: str, **fields: object) -> dict[str, object]:
+    """Return a route of a plan; ``fields`` sets further fields."""
     return {
         'name': path.strip('/'),
         'host': HOST,
@@ -53,11 +53,11 @@
         'target_latency_ms': 100,
         'service': 'plain',
         'max_attempts': 2,
-        **more,
+        **fields,
     }
 
 
-def make_plan(version: int = 1, **more: object) -> dict[str, object]:
+def make_plan(version: int = 1, **fields: object) -> dict[str, object]:
     """Return a plan with a route of each kind, as the store holds it."""
     return {
         'version': version,
@@ -85,7 +85,7 @@
             'idle_timeout_ms': 3000,
         },
         'tenants': [{'name': 'one', 'api_keys': [KEY]}],
-        **more,
+        **fields,
     }
 
 
@@ -146,9 +146,9 @@
         )
         return worker
 
-    async def write_plan(self, value: dict[str, object]) -> None:
+    async def write_plan(self, plan: dict[str, object]) -> None:
         """Write a plan to the store."""
-        await self.store.put(config.TOPIC, config.KEY, value)
+        await self.store.put(config.TOPIC, config.KEY, plan)
 
     async def start(self) -> None:
         """Create and start the gateway."""
@@ -160,32 +160,32 @@
         await wait_until(lambda: self.gateway.ready)
 
     def request_head(
-        self, path: str, key: str = KEY, **more: str
+        self, path: str, key: str = KEY, **fields: str
     ) -> tuple[str, bytes]:
         """Return a new attempt's id and the head of its request.
 
-        ``more`` holds headers, with ``_`` for ``-``; a ``body`` sets the
+        ``fields`` holds headers, with ``_`` for ``-``; a ``body`` sets the
         method and the length only.
         """
         attempt = f'attempt-{next(self._ids)}'
         lines = [
-            f'{"POST" if "body" in more else "GET"} {path} HTTP/1.1',
+            f'{"POST" if "body" in fields else "GET"} {path} HTTP/1.1',
             f'Host: {HOST}',
             f'X-Aspenfold-Attempt-Id: {attempt}',
         ]
         if key:
             lines.append(f'Authorization: Bearer {key}')
-        if 'body' in more:
-            lines.append(f'Content-Length: {len(more.pop("body"))}')
-        lines += [f'{n.replace("_", "-")}: {v}' for n, v in more.items()]
+        if 'body' in fields:
+            lines.append(f'Content-Length: {len(fields.pop("body"))}')
+        lines += [f'{n.replace("_", "-")}: {v}' for n, v in fields.items()]
         return attempt, '\r\n'.join([*lines, '', '']).encode()
 
     async def request(
-        self, path: str, key: str = KEY, **more: str
+        self, path: str, key: str = KEY, **fields: str
     ) -> Response:
         """Send a request on a new connection and return the response."""
-        body = more.get('body', '').encode()
-        _, head = self.request_head(path, key, **more)
+        body = fields.get('body', '').encode()
+        _, head = self.request_head(path, key, **fields)
         return await self.send(head + body)
 
     async def send(self, data: bytes) -> Response:
@@ -244,7 +244,7 @@
 def count_requests(worker: platform_worker.Worker, path: str) -> int:
     """Return how many requests for ``path`` a worker received.
 
-    The path excludes the reports that a group's leader reads.
+    Other requests, such as those of a leader for reports, do not count.
     """
     return sum(request.target == path for request in worker.requests)
 
@@ -261,12 +261,12 @@
 
 @contextlib.asynccontextmanager
 async def running_rig(
-    value: dict[str, object] | None = None,
+    plan: dict[str, object] | None = None,
 ) -> abc.AsyncIterator[Rig]:
     """Yield a rig with a running gateway and no endpoints."""
     rig = Rig()
     await rig.store.start()
-    await rig.write_plan(value or make_plan())
+    await rig.write_plan(plan or make_plan())
     try:
         await rig.start()
         yield rig
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -30,6 +30,8 @@
 from tests.lib import fleets
 
 PLUGINS = (admission, retries, routing)
+"""Packages that register the policies when they are imported."""
+
 SYSTEM_KEY = 'test-system-key-0123'
 PARTITION_DETECTION_MS = 400
 APPEND_RETRY_DELAY_MS = 200
--- a/tests/lib/simulated_ranks.py
+++ b/tests/lib/simulated_ranks.py
@@ -32,9 +32,10 @@
 class Rank:
     """The state of one rank.
 
-    ``min_token`` is the highest token of the accepted orders;
-    ``highest_version`` the highest version that was prepared;
-    ``copied_at`` is when its experts are copied.
+    ``min_token`` is the lowest token that the rank accepts,
+    ``highest_version`` the highest version that it was ever told to
+    prepare, and ``copied_at`` the time at which the experts of the
+    prepared version are copied.
     """
 
     min_token: int = 0
@@ -48,7 +49,7 @@
     held_pass: int | None = None
 
     def reset(self) -> None:
-        """Clear what a new epoch clears."""
+        """Reset the state that does not outlive an epoch."""
         self.version = 0
         self.map = ()
         self.prepared = None
@@ -90,7 +91,7 @@
 
 
 class Leader:
-    """Runs one MapSwitch as the gateway's group leader does."""
+    """Runs one MapSwitch at a time, as the gateway's group leader does."""
 
     def __init__(self, simulation: 'SimulatedRanks', term: int) -> None:
         self.simulation = simulation
@@ -121,7 +122,7 @@
             self.token = self.switch.token
             self.switch = None
             return not fenced
-        self._operate(self.switch)
+        self._poll_or_start_round(self.switch)
         return True
 
     def _start_switch(self) -> None:
@@ -139,7 +140,7 @@
             first_token=self.token,
         )
 
-    def _operate(self, machine: map_switch.MapSwitch) -> None:
+    def _poll_or_start_round(self, machine: map_switch.MapSwitch) -> None:
         simulation = self.simulation
         if simulation.now - self._requested_at >= 300 * MS:
             self._requested_at = simulation.now
@@ -246,28 +247,28 @@
         item = (self.now + delay, next(self._sequence_numbers), work)
         heapq.heappush(self._events, item)
 
-    def _chance(self, rate: float) -> bool:
+    def _occurs(self, rate: float) -> bool:
         return self.rng.random() < rate * (TICK_INTERVAL / (1000 * MS))
 
     def _inject_faults(self) -> None:
         faults = self.faults
-        if self.is_open and self._chance(faults.crashes_per_s):
+        if self.is_open and self._occurs(faults.crashes_per_s):
             self.crash_rank()
         for leader in list(self.leaders):
-            if self._chance(faults.leader_kills_per_s):
+            if self._occurs(faults.leader_kills_per_s):
                 self.leaders.remove(leader)
-            elif self._chance(faults.leader_pauses_per_s):
+            elif self._occurs(faults.leader_pauses_per_s):
                 delay = self.rng.randrange(100, 4000) * MS
                 leader.paused_until = self.now + delay
         running = [x for x in self.leaders if x.paused_until <= self.now]
-        if not running and self._chance(faults.leader_starts_per_s):
+        if not running and self._occurs(faults.leader_starts_per_s):
             self._term += 1
             self.leaders.append(Leader(self, self._term))
 
     def crash_rank(self) -> None:
-        """Close the group; it forms again in a new epoch after a while.
+        """Crash a random rank, which forgets the tokens that it accepted.
 
-        One rank forgets which tokens it has accepted.
+        The group closes, and opens again later in a new epoch.
         """
         self.is_open = False
         self.rng.choice(self.ranks).min_token = 0
