--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -54,7 +54,7 @@
 def test_keyed_job_of_a_killed_agent_stays_unknown(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """Without the agent's record, another run could be the second."""
+    """A new agent cannot know of earlier runs, so the job must not rerun."""
     for name in PLAIN_ENDPOINTS:
         deployment.set_faults(name, delay_ms=700)
     first = client.submit(client.job, 0, 'sale-2')
