--- a/standins/aspenfold_standins/json_server.py
+++ b/standins/aspenfold_standins/json_server.py
@@ -1,4 +1,4 @@
-"""A server of JSON over HTTP on CherryPy, and faults, for stand-ins."""
+"""A JSON-over-HTTP server on CherryPy, and its faults, for stand-ins."""
 
 from collections import abc
 import json
@@ -25,7 +25,7 @@
 
 
 class ResponseLost(Exception):
-    """Raised by a handler to close the connection without a response."""
+    """Raised by a handler to close the connection before the body."""
 
 
 Handler = abc.Callable[..., typing.Any]
--- a/standins/aspenfold_standins/launcher.py
+++ b/standins/aspenfold_standins/launcher.py
@@ -26,7 +26,7 @@
 
 
 class LaunchError(Exception):
-    """A process or condition was not ready in time."""
+    """A process did not become ready, or a wait timed out."""
 
 
 class ChildProcess:
@@ -58,14 +58,14 @@
         return f'http://{LOOPBACK}:{self.port}'
 
     def wait_ready(self) -> None:
-        """Wait for the ready message; raise LaunchError at the timeout."""
+        """Wait for the ready message; raise LaunchError without one."""
         assert self._process.stdout is not None
         readable, _, _ = select.select(
             [self._process.stdout], [], [], READY_TIMEOUT_S
         )
         line = self._process.stdout.readline() if readable else ''
         if not line:
-            raise LaunchError(f'{self.name} did not become ready in time')
+            raise LaunchError(f'{self.name} did not become ready')
         self.ready_message = json.loads(line)
 
     def send_signal(self, number: int) -> None:
@@ -115,7 +115,7 @@
         )
         self.processes: dict[str, ChildProcess] = {}
         self.hosts: dict[str, dict[str, typing.Any]] = {}
-        self.entry_peers: list[int] = []
+        self.entry_peer_ports: list[int] = []
         self._agent_argv: dict[str, list[str]] = {}
         self.engine_options: tuple[str, ...] = ()
         self._stderr_file = open(  # noqa: SIM115
@@ -155,7 +155,7 @@
             'platform': self.platform_settings(),
             'peers': [
                 {'address': LOOPBACK, 'port': port}
-                for port in self.entry_peers
+                for port in self.entry_peer_ports
             ],
             'system_key': SYSTEM_KEY,
             'operator_key': OPERATOR_KEY,
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -279,7 +279,7 @@
         deployment.processes[name].ready_message['peer_port']
         for name in deployment.entry_names()
     ]
-    deployment.entry_peers = peers
+    deployment.entry_peer_ports = peers
     fresh = deployment.start_entry('entry-fresh', 'zone-a')
     fresh.wait_ready()
     deployment.wait_for(
