--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -20,13 +20,13 @@
 class SlowRelease(rank_group.RankGroup):
     """A group that releases held passes slowly."""
 
-    async def order(
+    async def execute_order(
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
         """Apply an order; delay a release."""
-        if rank_group.OPS[message['op']] is rank_protocol.Op.RELEASE:
+        if rank_group.OPERATIONS[message['op']] is rank_protocol.Op.RELEASE:
             await asyncio.sleep(RELEASE_S)
-        return await super().order(rank, message)
+        return await super().execute_order(rank, message)
 
 
 def plan() -> dict[str, object]:
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -66,7 +66,7 @@
     async def run() -> None:
         async with gateway_pair() as pair:
             second = pair.processes[1]
-            pair.links[1].start_fault(links.LinkFault.SILENT)
+            pair.links[1].start_fault(links.LinkFault.NO_DATA)
             await pair.rig.write_plan(rigs.make_plan(9))
             await rigs.wait_until(lambda: second.plan_version == 9)
             worker = await pair.rig.add_worker('w-2')
@@ -87,7 +87,7 @@
     async def run() -> None:
         async with gateway_pair() as pair:
             first, second = pair.processes
-            pair.links[0].start_fault(links.LinkFault.SILENT)
+            pair.links[0].start_fault(links.LinkFault.NO_DATA)
             await pair.rig.write_plan(rigs.make_plan(4))
             await rigs.wait_until(lambda: second.plan_version == 4)
             await rigs.wait_until(lambda: first.plan_version == 4)
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak, and each seed that ever failed; see tests/soak."""
+"""Short soaks, and tests of the checker that finds violations."""
 
 import asyncio
 import json
@@ -16,36 +16,40 @@
 from tests.soak import soak_history
 from tests.soak import system_under_test
 
-SEEDS = [
+FAILED_SEEDS = [
     entry['seed']
     for entry in json.loads(
         (pathlib.Path(main.__file__).parent / 'seeds.json').read_text()
     )
 ]
+"""Seeds with which a soak failed before."""
 
 FIXED_SEED = 1
 DURATION_S = 8.0
 
 
-@pytest.mark.parametrize('seed', [FIXED_SEED, *SEEDS])
-def test_all_promises_hold_under_faults(
+@pytest.mark.parametrize('seed', [FIXED_SEED, *FAILED_SEEDS])
+def test_guarantees_hold_under_faults(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
-    """Requests are served meanwhile, and nothing is broken."""
+    """Faults must not violate a guarantee, nor stop all service."""
     result = asyncio.run(
         main.run_soak(seed=seed, duration_s=DURATION_S, folder=tmp_path)
     )
-    assert result.broken == [], result.faults
-    assert result.served
+    assert result.violations == [], result.fault_log
+    assert result.served_count
 
 
-class Scene:
-    """A checker over what a test says that was seen."""
+class CheckerScenario:
+    """A checker of requests and processes that a test describes.
+
+    The system has one endpoint, and nothing is started.
+    """
 
     def __init__(self, tmp_path: pathlib.Path) -> None:
-        self.ledger = soak_history.SoakHistory()
+        self.history = soak_history.SoakHistory()
         self.system = system_under_test.SystemUnderTest(
-            folder=tmp_path, rng=main.random.Random(1), gateways=0
+            folder=tmp_path, rng=main.random.Random(1), gateway_count=0
         )
         self.worker = system_under_test.platform_worker.Worker('w')
         self.endpoint = system_under_test.Endpoint(
@@ -57,58 +61,67 @@
         )
         self.system.endpoints.append(self.endpoint)
 
-    def asked(
-        self, path: str, status: int = 0, body: bytes = b'', whole: bool = True
+    def add_request(
+        self,
+        path: str,
+        status: int = 0,
+        body: bytes = b'',
+        complete: bool = True,
     ) -> soak_history.RequestRecord:
-        """Note a request and its answer."""
-        found = soak_history.RequestRecord(
-            attempt='soak-1',
+        """Record a request and its response."""
+        request = soak_history.RequestRecord(
+            attempt_id='soak-1',
             path=path,
             gateway='g',
-            incarnation=1,
+            process_number=1,
             sent_at=time.monotonic(),
         )
-        found.ended_at = found.sent_at
-        found.answer = guarantees.callers.gateway_rig.Response(
+        request.ended_at = request.sent_at
+        request.response = guarantees.callers.gateway_rig.Response(
             status=status,
             headers={guarantees.platform_worker.SEAL_HEADER.lower(): 's'},
             body=body,
-            complete=whole,
+            complete=complete,
         )
-        self.ledger.add(found)
-        return found
-
-    def arrived(self, attempt: str, at: float, **headers: str) -> None:
-        """Note an arrival at the endpoint."""
-        named = {guarantees.platform_worker.ATTEMPT_HEADER: attempt, **headers}
+        self.history.add_request(request)
+        return request
+
+    def receive_request(
+        self, attempt_id: str, at: float, **headers: str
+    ) -> None:
+        """Record that the endpoint received a request."""
+        all_headers = {
+            guarantees.platform_worker.ATTEMPT_HEADER: attempt_id,
+            **headers,
+        }
         self.worker.requests.append(
             http11.Request(
                 method='GET',
                 target='/',
-                headers=named,
+                headers=all_headers,
                 body=b'',
                 arrived_at=at,
             )
         )
 
-    def broken(self) -> str:
-        """Return what the checker finds, in one text."""
+    def find_violations(self) -> str:
+        """Return the checker's violations, joined to one string."""
         checker = guarantees.GuaranteeChecker(
-            system=self.system, ledger=self.ledger, probers=[]
+            system=self.system, history=self.history, probers=[]
         )
         return '; '.join(checker.check())
 
 
-@pytest.mark.parametrize('early', [False, True])
-def test_only_a_program_not_begun_may_end_by_a_reload(
-    tmp_path: pathlib.Path, early: bool
+@pytest.mark.parametrize('unhandled', [False, True])
+def test_sighup_may_end_a_program_only_before_it_handles_it(
+    tmp_path: pathlib.Path, unhandled: bool
 ) -> None:
-    """Whether it had begun shows in its signal masks."""
+    """Any later end by SIGHUP must be a violation."""
 
     async def run() -> str:
-        scene = Scene(tmp_path)
+        scenario = CheckerScenario(tmp_path)
         command = 'import signal; signal.signal(1, 0); print(1, flush=True)'
-        if not early:
+        if not unhandled:
             command = command.replace('(1, 0)', '(1, signal.SIG_IGN)')
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -123,73 +136,73 @@
             name='g',
             host='127.0.0.1',
             folder=tmp_path,
-            internal=free_ports.find_port_pair(['127.0.0.1']),
+            internal_port=free_ports.find_port_pair(['127.0.0.1']),
         )
-        log = tmp_path / 'g-1.log'
-        log.write_text('')
-        found = system_under_test.ProgramProcess(
-            gateway='g',
+        log_path = tmp_path / 'g-1.log'
+        log_path.write_text('')
+        started = system_under_test.ProgramProcess(
+            program='g',
             process=process,
-            target=system_under_test.signals.ProcessHandle(pid=process.pid),
-            log=log,
+            handle=system_under_test.signals.ProcessHandle(pid=process.pid),
+            log_path=log_path,
         )
-        gateway.incarnations.append(found)
-        gateway.signal(signal.SIGHUP)
-        assert found.reloaded_early is early
-        if not early:
+        gateway.processes.append(started)
+        gateway.send_signal(signal.SIGHUP)
+        assert started.sighup_unhandled is unhandled
+        if not unhandled:
             process.kill()
         await process.wait()
-        # What the checker must tell of one that had begun.
-        found.status = -signal.SIGHUP
-        found.target.close()
-        scene.system.gateways.append(gateway)
-        return scene.broken()
+        # The end that the checker must report if SIGHUP was handled.
+        started.exit_status = -signal.SIGHUP
+        started.handle.close()
+        scenario.system.gateways.append(gateway)
+        return scenario.find_violations()
 
-    told = asyncio.run(run())
-    assert ('ended by itself' in told) is not early
+    violations = asyncio.run(run())
+    assert ('exited by itself' in violations) is not unhandled
 
 
-def test_the_checker_sees_each_broken_promise(
+def test_checker_reports_each_violation(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A check that cannot fail proves nothing."""
-    scene = Scene(tmp_path)
-    scene.asked('/unsafe/', 503)
-    scene.worker.runs['soak-1'] = 2
-    found = scene.broken()
-    assert 'ran 2 times' in found
-    assert 'ran and was told 503' in found
-
-    scene = Scene(tmp_path)
-    scene.asked('/stream/', 200, guarantees.EVENTS[1])
-    assert 'out of order' in scene.broken()
-
-    scene = Scene(tmp_path)
-    scene.asked('/safe/', 200, b'answer to another')
-    assert "got b'answer to another'" in scene.broken()
-
-    scene = Scene(tmp_path)
-    scene.asked('/safe/', 200, b'', whole=False)
-    scene.worker.runs['soak-1'] = 1
-    assert 'was cut' in scene.broken()
-
-    scene = Scene(tmp_path)
-    scene.asked('/safe/', 404)
-    assert 'was told 404' in scene.broken()
-
-    scene = Scene(tmp_path)
-    scene.asked('/safe/', 503)
-    scene.endpoint.leaving_at = time.monotonic() - 9
-    scene.arrived('soak-1', time.monotonic(), authorization='k')
-    scene.arrived('nobody', time.monotonic())
-    found = scene.broken()
-    assert 'after it was leaving' in found
-    assert 'got the key' in found
-    assert "got organisation ''" in found
-    assert 'nobody sent' in found
-
-    scene = Scene(tmp_path)
-    scene.system.group.violation = (
+    """A missed violation would let a soak pass with a fault."""
+    scenario = CheckerScenario(tmp_path)
+    scenario.add_request('/unsafe/', 503)
+    scenario.worker.runs['soak-1'] = 2
+    violations = scenario.find_violations()
+    assert 'was executed 2 times' in violations
+    assert 'was executed but got status 503' in violations
+
+    scenario = CheckerScenario(tmp_path)
+    scenario.add_request('/stream/', 200, guarantees.STREAM_EVENTS[1])
+    assert 'events out of order' in scenario.find_violations()
+
+    scenario = CheckerScenario(tmp_path)
+    scenario.add_request('/safe/', 200, b'answer to another')
+    assert "got b'answer to another'" in scenario.find_violations()
+
+    scenario = CheckerScenario(tmp_path)
+    scenario.add_request('/safe/', 200, b'', complete=False)
+    scenario.worker.runs['soak-1'] = 1
+    assert 'was truncated' in scenario.find_violations()
+
+    scenario = CheckerScenario(tmp_path)
+    scenario.add_request('/safe/', 404)
+    assert 'was rejected with status 404' in scenario.find_violations()
+
+    scenario = CheckerScenario(tmp_path)
+    scenario.add_request('/safe/', 503)
+    scenario.endpoint.draining_since = time.monotonic() - 9
+    scenario.receive_request('soak-1', time.monotonic(), authorization='k')
+    scenario.receive_request('nobody', time.monotonic())
+    violations = scenario.find_violations()
+    assert 'after it began to drain' in violations
+    assert 'received the API key' in violations
+    assert "received organisation ''" in violations
+    assert 'nobody sent' in violations
+
+    scenario = CheckerScenario(tmp_path)
+    scenario.system.group.violation = (
         system_under_test.rank_group.simulated_ranks.MixedMapsError('two')
     )
-    assert 'mixed maps' in scene.broken()
+    assert 'mixed maps' in scenario.find_violations()
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real gateways, faults from outside, promises kept."""
+"""Soak tests: gateway processes serve requests while faults are injected."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and one that asks for the plan."""
+"""Clients of the gateways: callers, and probers that check the plan."""
 
 import asyncio
 import itertools
@@ -9,114 +9,115 @@
 from tests.soak import soak_history
 from tests.soak import system_under_test
 
-PAUSE_S = (0.02, 0.3)
-"""Between two requests of a caller."""
+REQUEST_PAUSE_RANGE_S = (0.02, 0.3)
 
-PATIENCE_S = 8.0
+CALLER_TIMEOUT_S = 8.0
 
-LEAVES = 0.05
-"""Share of requests whose caller leaves before the answer."""
+DISCONNECT_FRACTION = 0.05
+"""Fraction of requests whose caller disconnects early."""
 
-NEW_CONNECTION = 0.2
-"""Share of requests that are sent on a connection of their own."""
+NEW_CONNECTION_FRACTION = 0.2
+"""Fraction of requests that do not reuse an idle connection."""
 
-PROBE_S = 0.2
+PROBE_INTERVAL_S = 0.2
 
-_numbers = itertools.count(1)
+_attempt_numbers = itertools.count(1)
 
 
 class Caller:
-    """Sends requests to gateways by turns, for ever."""
+    """Sends requests to randomly chosen gateways, one at a time."""
 
     def __init__(
         self,
         *,
         system: system_under_test.SystemUnderTest,
-        ledger: soak_history.SoakHistory,
+        history: soak_history.SoakHistory,
         rng: random.Random,
     ) -> None:
         self._system = system
-        self._ledger = ledger
+        self._history = history
         self._rng = rng
-        self._kept: dict[
+        self._idle_connections: dict[
             str, tuple[asyncio.StreamReader, asyncio.StreamWriter]
         ] = {}
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Send requests until cancelled."""
         while True:
-            await asyncio.sleep(self._rng.uniform(*PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(*REQUEST_PAUSE_RANGE_S))
             gateway = self._rng.choice(self._system.gateways)
-            await self._ask(gateway, self._rng.choice(soak_history.PATHS))
+            await self._send_request(
+                gateway, self._rng.choice(soak_history.REQUEST_PATHS)
+            )
 
-    async def _ask(
+    async def _send_request(
         self, gateway: system_under_test.GatewayProgram, path: str
     ) -> None:
         try:
-            reader, writer = await self._connection(gateway)
+            reader, writer = await self._connect(gateway)
         except (OSError, TimeoutError):
             return
-        asked = soak_history.RequestRecord(
-            attempt=f'soak-{next(_numbers)}',
+        request = soak_history.RequestRecord(
+            attempt_id=f'soak-{next(_attempt_numbers)}',
             path=path,
             gateway=gateway.name,
-            incarnation=len(gateway.incarnations),
+            process_number=len(gateway.processes),
             sent_at=time.monotonic(),
-            left_early=self._rng.random() < LEAVES,
+            disconnected_early=self._rng.random() < DISCONNECT_FRACTION,
         )
-        self._ledger.add(asked)
+        self._history.add_request(request)
         try:
-            writer.write(_request(asked))
-            if asked.left_early:
+            writer.write(_request_bytes(request))
+            if request.disconnected_early:
                 await asyncio.sleep(self._rng.uniform(0, 0.2))
                 writer.close()
                 return
-            async with asyncio.timeout(PATIENCE_S):
-                asked.answer = await gateway_rig.read_response(reader)
+            async with asyncio.timeout(CALLER_TIMEOUT_S):
+                request.response = await gateway_rig.read_response(reader)
         except (OSError, TimeoutError):
-            # Told by the answer that is missing.
+            # The request stays without a response.
             writer.close()
         finally:
-            asked.ended_at = time.monotonic()
-        self._keep(gateway, asked, reader, writer)
+            request.ended_at = time.monotonic()
+        self._keep_or_close(gateway, request, reader, writer)
 
-    async def _connection(
+    async def _connect(
         self, gateway: system_under_test.GatewayProgram
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        kept = self._kept.pop(gateway.name, None)
-        if kept is not None and not kept[0].at_eof():
-            if self._rng.random() >= NEW_CONNECTION:
-                return kept
-            kept[1].close()
+        connection = self._idle_connections.pop(gateway.name, None)
+        if connection is not None and not connection[0].at_eof():
+            if self._rng.random() >= NEW_CONNECTION_FRACTION:
+                return connection
+            connection[1].close()
         async with asyncio.timeout(1.0):
             return await asyncio.open_connection(
-                '127.0.0.1', gateway.front.port
+                '127.0.0.1', gateway.caller_link.port
             )
 
-    def _keep(
+    def _keep_or_close(
         self,
         gateway: system_under_test.GatewayProgram,
-        asked: soak_history.RequestRecord,
+        request: soak_history.RequestRecord,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        answer = asked.answer
-        ended = answer is None or not answer.complete
-        if answer is not None and not ended:
-            ended = answer.headers.get('connection') == 'close'
-        if ended:
+        response = request.response
+        must_close = response is None or not response.complete
+        if response is not None and not must_close:
+            must_close = response.headers.get('connection') == 'close'
+        if must_close:
             writer.close()
             return
-        self._kept[gateway.name] = reader, writer
+        self._idle_connections[gateway.name] = reader, writer
 
 
-def _request(asked: soak_history.RequestRecord) -> bytes:
-    method = 'GET' if asked.path in ('/safe/', '/short/') else 'POST'
+def _request_bytes(request: soak_history.RequestRecord) -> bytes:
+    method = 'GET' if request.path in ('/safe/', '/short/') else 'POST'
     lines = [
-        f'{method} {asked.path} HTTP/1.1',
+        f'{method} {request.path} HTTP/1.1',
         f'Host: {gateway_rig.HOST}',
-        f'X-Aspenfold-Attempt-Id: {asked.attempt}',
-        f'X-Aspenfold-Deadline-Remaining-Ms: {int(PATIENCE_S * 1000)}',
+        f'X-Aspenfold-Attempt-Id: {request.attempt_id}',
+        f'X-Aspenfold-Deadline-Remaining-Ms: {int(CALLER_TIMEOUT_S * 1000)}',
         f'Authorization: Bearer {gateway_rig.KEY}',
     ]
     body = b''
@@ -126,86 +127,99 @@
     return '\r\n'.join([*lines, '', '']).encode() + body
 
 
-class Prober:
-    """Asks one gateway, past its link, which plan it has."""
+class PlanProber:
+    """Checks that one gateway applies new plans in time and keeps them.
+
+    It requests the path that only the newest plan has, directly from the
+    gateway rather than through its link proxy.  Failures are appended to
+    ``violations``.
+    """
 
     def __init__(
         self,
         *,
         system: system_under_test.SystemUnderTest,
         gateway: system_under_test.GatewayProgram,
-        ledger: soak_history.SoakHistory,
+        history: soak_history.SoakHistory,
     ) -> None:
         self._system = system
         self._gateway = gateway
-        self._ledger = ledger
-        self._seen: tuple[int, int] = (0, 0)
-        self.broken: list[str] = []
+        self._history = history
+        # Process number and plan version of the last probe that was routed.
+        self._last_routed: tuple[int, int] = (0, 0)
+        self.violations: list[str] = []
 
     async def run(self) -> None:
-        """Ask for ever."""
+        """Probe at an interval until cancelled."""
         while True:
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             await self.probe()
 
     async def probe(self) -> int:
-        """Ask once; return the status, 0 for no answer."""
+        """Request the newest plan's path; return the status or 0.
+
+        0 means that there was no response.
+        """
         system, gateway = self._system, self._gateway
-        version, path = system.version, system.probe_path
-        accepted_at = system.accepted_at
-        incarnation = len(gateway.incarnations)
+        version, path = system.plan_version, system.probe_path
+        written_at = system.plan_written_at
+        process_number = len(gateway.processes)
         sent_at = time.monotonic()
-        status = await self._status(path)
-        if (version, incarnation) != (
-            system.version,
-            len(gateway.incarnations),
+        status = await self._request_status(path)
+        if (version, process_number) != (
+            system.plan_version,
+            len(gateway.processes),
         ):
             return status
         if status and status not in (404, 503):
-            self._seen = incarnation, version
+            self._last_routed = process_number, version
         if status != 404:
             return status
-        who = f'{gateway.name}, process {incarnation}'
-        if self._seen == (incarnation, version):
-            self.broken.append(f'{who} went back behind plan {version}')
-        since = max(accepted_at, sent_at - CONFIG_APPLY_S)
-        calm = all(
-            self._ledger.calm(subject, since, time.monotonic())
+        process_name = f'{gateway.name}, process {process_number}'
+        if self._last_routed == (process_number, version):
+            self.violations.append(
+                f'{process_name} went back to a plan before {version}'
+            )
+        since = max(written_at, sent_at - PLAN_APPLY_TIMEOUT_S)
+        fault_free = all(
+            self._history.is_fault_free(subject, since, time.monotonic())
             for subject in (gateway.name, 'store')
         )
-        if calm and sent_at - accepted_at > CONFIG_APPLY_S:
-            self.broken.append(f'{who} has plan {version} too late')
+        if fault_free and sent_at - written_at > PLAN_APPLY_TIMEOUT_S:
+            self.violations.append(
+                f'{process_name} did not apply plan {version} in time'
+            )
         return status
 
-    async def _status(self, path: str) -> int:
-        number = next(_numbers)
+    async def _request_status(self, path: str) -> int:
+        number = next(_attempt_numbers)
         lines = [
             f'GET {path} HTTP/1.1',
             f'Host: {gateway_rig.HOST}',
             f'X-Aspenfold-Attempt-Id: probe-{number}',
         ]
-        self._ledger.add(
+        self._history.add_request(
             soak_history.RequestRecord(
-                attempt=f'probe-{number}',
+                attempt_id=f'probe-{number}',
                 path='/safe/',
                 gateway=self._gateway.name,
-                incarnation=len(self._gateway.incarnations),
+                process_number=len(self._gateway.processes),
                 sent_at=time.monotonic(),
-                left_early=True,
+                disconnected_early=True,
             )
         )
         try:
             async with asyncio.timeout(2.0):
                 reader, writer = await asyncio.open_connection(
-                    self._gateway.host, self._gateway.callers
+                    self._gateway.host, self._gateway.caller_port
                 )
                 writer.write('\r\n'.join([*lines, '', '']).encode())
-                answer = await gateway_rig.read_response(reader)
+                response = await gateway_rig.read_response(reader)
                 writer.close()
         except (OSError, TimeoutError):
             return 0
-        return answer.status
+        return response.status
 
 
-CONFIG_APPLY_S = 2.0
-"""A plan is in force so long after it was accepted."""
+PLAN_APPLY_TIMEOUT_S = 2.0
+"""Time within which a gateway must serve a new plan."""
--- a/tests/soak/guarantees.py
+++ b/tests/soak/guarantees.py
@@ -1,4 +1,4 @@
-"""The promises, checked from what callers and endpoints saw."""
+"""Checks of the service's guarantees from what was observed in a soak."""
 
 import collections
 import json
@@ -11,176 +11,228 @@
 from tests.soak import soak_history
 from tests.soak import system_under_test
 
-DRAIN_S = 2.0
-"""An endpoint that is leaving gets no new work after this."""
+DRAIN_NOTICE_S = 2.0
+"""Time after which a draining endpoint must get no new requests."""
 
-ON_THE_WAY_S = 0.25
-"""What a request may take from its gateway to an endpoint's log."""
+MAX_TRANSIT_S = 0.25
+"""Longest time that a request takes from a gateway to an endpoint."""
 
-PROMISE_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee that the request was not executed."""
 
-EVENTS = tuple(
+STREAM_EVENTS = tuple(
     platform_worker.event_bytes(n)
-    for n in range(1, system_under_test.EVENTS + 1)
+    for n in range(1, system_under_test.EVENT_COUNT + 1)
 )
 
 
 class GuaranteeChecker:
-    """Collects what was broken in one soak."""
+    """Collects the violations of guarantees in one soak."""
 
     def __init__(
         self,
         *,
         system: system_under_test.SystemUnderTest,
-        ledger: soak_history.SoakHistory,
-        probers: list[callers.Prober],
+        history: soak_history.SoakHistory,
+        probers: list[callers.PlanProber],
     ) -> None:
         self._system = system
-        self._ledger = ledger
+        self._history = history
         self._probers = probers
-        self._runs: collections.Counter[str] = collections.Counter()
-        self.broken: list[str] = []
+        self._executions: collections.Counter[str] = collections.Counter()
+        self.violations: list[str] = []
 
     def check(self) -> list[str]:
-        """Return all that was broken."""
-        every = [*self._system.endpoints, *self._system.gone]
-        for endpoint in every:
-            self._runs.update(endpoint.worker.runs)
-            self._arrivals(endpoint)
-        for asked in self._ledger.asked.values():
-            self._request(asked)
+        """Check everything; return a description of each violation."""
+        all_endpoints = [
+            *self._system.endpoints,
+            *self._system.removed_endpoints,
+        ]
+        for endpoint in all_endpoints:
+            self._executions.update(endpoint.worker.runs)
+            self._check_received_requests(endpoint)
+        for request in self._history.requests.values():
+            self._check_response(request)
         for prober in self._probers:
-            self.broken += prober.broken
+            self.violations += prober.violations
         if self._system.group.violation is not None:
-            self._tell(f'mixed maps: {self._system.group.violation}')
+            self._add_violation(f'mixed maps: {self._system.group.violation}')
         for program in self._system.programs:
-            for incarnation in program.incarnations:
-                self._process(incarnation)
-        return self.broken
-
-    def _tell(self, text: str) -> None:
-        self.broken.append(text)
+            for process in program.processes:
+                self._check_process(process)
+        return self.violations
 
-    # -- endpoints -------------------------------------------------------
+    def _add_violation(self, text: str) -> None:
+        self.violations.append(text)
 
-    def _arrivals(self, endpoint: system_under_test.Endpoint) -> None:
+    def _check_received_requests(
+        self, endpoint: system_under_test.Endpoint
+    ) -> None:
         name = endpoint.worker.name
-        for request in endpoint.worker.requests:
-            attempt = request.headers.get(platform_worker.ATTEMPT_HEADER, '')
-            asked = self._ledger.asked.get(attempt)
-            if asked is None:
-                self._tell(f'{name} got {attempt!r}, which nobody sent')
+        for received in endpoint.worker.requests:
+            attempt_id = received.headers.get(
+                platform_worker.ATTEMPT_HEADER, ''
+            )
+            request = self._history.requests.get(attempt_id)
+            if request is None:
+                self._add_violation(
+                    f'{name} received {attempt_id!r}, which nobody sent'
+                )
                 continue
-            if 'authorization' in request.headers:
-                self._tell(f'{name} got the key of {attempt}')
-            told = request.headers.get('x-aspenfold-tenant', '')
-            known = attempt.startswith('probe-')
-            if told != ('' if known else system_under_test.ORGANISATION):
-                self._tell(f'{name} got organisation {told!r} of {attempt}')
-            self._drained(endpoint, asked, request.arrived_at)
-
-    def _drained(
+            if 'authorization' in received.headers:
+                self._add_violation(
+                    f'{name} received the API key of {attempt_id}'
+                )
+            organisation = received.headers.get('x-aspenfold-tenant', '')
+            is_probe = attempt_id.startswith('probe-')
+            if organisation != (
+                '' if is_probe else system_under_test.ORGANISATION
+            ):
+                self._add_violation(
+                    f'{name} received organisation {organisation!r} '
+                    f'with {attempt_id}'
+                )
+            self._check_draining(endpoint, request, received.arrived_at)
+
+    def _check_draining(
         self,
         endpoint: system_under_test.Endpoint,
-        asked: soak_history.RequestRecord,
+        request: soak_history.RequestRecord,
         arrived_at: float,
     ) -> None:
-        since = endpoint.leaving_at
-        if since is None or arrived_at <= since + DRAIN_S + ON_THE_WAY_S:
+        since = endpoint.draining_since
+        if (
+            since is None
+            or arrived_at <= since + DRAIN_NOTICE_S + MAX_TRANSIT_S
+        ):
             return
-        calm = all(
-            self._ledger.calm(subject, since, arrived_at)
-            for subject in (asked.gateway, 'store', endpoint.worker.name)
+        fault_free = all(
+            self._history.is_fault_free(subject, since, arrived_at)
+            for subject in (request.gateway, 'store', endpoint.worker.name)
         )
-        if calm:
-            late = arrived_at - since
-            self._tell(
-                f'{endpoint.worker.name} got {asked.attempt} of '
-                f'{asked.gateway} {late:.1f} s after it was leaving'
+        if fault_free:
+            delay = arrived_at - since
+            self._add_violation(
+                f'{endpoint.worker.name} received {request.attempt_id} from '
+                f'{request.gateway} {delay:.1f} s after it began to drain'
             )
 
-    # -- requests --------------------------------------------------------
-
-    def _request(self, asked: soak_history.RequestRecord) -> None:
-        runs = self._runs[asked.attempt]
-        once = asked.path in soak_history.ONCE
-        if once and runs > 1:
-            self._tell(f'{asked.attempt} of {asked.path} ran {runs} times')
-        answer = asked.answer
-        if answer is None:
+    def _check_response(self, request: soak_history.RequestRecord) -> None:
+        executions = self._executions[request.attempt_id]
+        at_most_once = request.path in soak_history.AT_MOST_ONCE_PATHS
+        if at_most_once and executions > 1:
+            self._add_violation(
+                f'{request.attempt_id} to {request.path} was executed '
+                f'{executions} times'
+            )
+        response = request.response
+        if response is None:
             return
-        if once and answer.status in PROMISE_NOT_RUN and runs:
-            self._tell(f'{asked.attempt} ran and was told {answer.status}')
-        if answer.status == 200:
-            self._success(asked)
-        elif answer.status in (400, 401, 403, 404, 413, 431):
-            self._tell(f'{asked.attempt} was told {answer.status}')
-        elif not answer.complete:
-            self._cut(asked)
-
-    def _success(self, asked: soak_history.RequestRecord) -> None:
-        answer = asked.answer
-        assert answer is not None
-        if platform_worker.SEAL_HEADER.lower() not in answer.headers:
-            self._tell(f'{asked.attempt}: a success without a signature')
-        if asked.path in soak_history.STREAMS:
-            whole = b''.join(EVENTS)
-            if answer.complete and answer.body != whole:
-                self._tell(f'{asked.attempt}: events {answer.body!r}')
-            if not whole.startswith(answer.body):
-                self._tell(f'{asked.attempt}: out of order {answer.body!r}')
-        elif answer.complete:
-            expected = b'answer to ' + asked.attempt.encode()
-            if answer.body != expected:
-                self._tell(f'{asked.attempt} got {answer.body!r}')
-        if not answer.complete:
-            self._cut(asked)
-
-    def _cut(self, asked: soak_history.RequestRecord) -> None:
-        """A connection ended early: only faults on its way excuse it."""
-        if not self._runs[asked.attempt]:
+        if (
+            at_most_once
+            and response.status in NOT_EXECUTED_STATUSES
+            and executions
+        ):
+            self._add_violation(
+                f'{request.attempt_id} was executed but got status '
+                f'{response.status}'
+            )
+        if response.status == 200:
+            self._check_success(request)
+        elif response.status in (400, 401, 403, 404, 413, 431):
+            self._add_violation(
+                f'{request.attempt_id} was rejected with status '
+                f'{response.status}'
+            )
+        elif not response.complete:
+            self._check_truncated(request)
+
+    def _check_success(self, request: soak_history.RequestRecord) -> None:
+        response = request.response
+        assert response is not None
+        if platform_worker.SEAL_HEADER.lower() not in response.headers:
+            self._add_violation(
+                f'{request.attempt_id}: status 200 without a seal'
+            )
+        if request.path in soak_history.STREAM_PATHS:
+            all_events = b''.join(STREAM_EVENTS)
+            if response.complete and response.body != all_events:
+                self._add_violation(
+                    f'{request.attempt_id}: wrong events {response.body!r}'
+                )
+            if not all_events.startswith(response.body):
+                self._add_violation(
+                    f'{request.attempt_id}: events out of order '
+                    f'{response.body!r}'
+                )
+        elif response.complete:
+            expected = b'answer to ' + request.attempt_id.encode()
+            if response.body != expected:
+                self._add_violation(
+                    f'{request.attempt_id} got {response.body!r}'
+                )
+        if not response.complete:
+            self._check_truncated(request)
+
+    def _check_truncated(self, request: soak_history.RequestRecord) -> None:
+        """Add a violation unless a fault explains the truncated response."""
+        if not self._executions[request.attempt_id]:
             return
-        subjects = [asked.gateway, 'store', 'group']
+        subjects = [request.gateway, 'store', 'group']
         subjects += [
             e.worker.name
-            for e in [*self._system.endpoints, *self._system.gone]
-            if asked.attempt in e.worker.runs
+            for e in [
+                *self._system.endpoints,
+                *self._system.removed_endpoints,
+            ]
+            if request.attempt_id in e.worker.runs
         ]
-        calm = all(
-            self._ledger.calm(subject, asked.sent_at, asked.ended_at)
+        fault_free = all(
+            self._history.is_fault_free(
+                subject, request.sent_at, request.ended_at
+            )
             for subject in subjects
         )
-        if calm:
-            self._tell(f'{asked.attempt} of {asked.gateway} was cut')
-
-    # -- processes -------------------------------------------------------
+        if fault_free:
+            self._add_violation(
+                f'the response to {request.attempt_id} from '
+                f'{request.gateway} was truncated'
+            )
 
-    def _process(self, found: system_under_test.ProgramProcess) -> None:
-        name = found.log.stem
+    def _check_process(
+        self, process: system_under_test.ProgramProcess
+    ) -> None:
+        name = process.log_path.stem
         started = False
-        lines = found.log.read_text('utf-8', 'replace').splitlines()
+        lines = process.log_path.read_text('utf-8', 'replace').splitlines()
         for line in lines:
             try:
                 event = json.loads(line).get('event')
             except ValueError:
-                # A killed process may leave half a line.
-                if not found.killed:
-                    # Of a traceback the last line names the error.
-                    told = f'{line[:200]!r} .. {lines[-1][:200]!r}'
-                    self._tell(f'{name} wrote {told}')
+                # A killed process can leave an incomplete line.
+                if not process.sigkill_sent:
+                    # The last line of a traceback names the error.
+                    text = f'{line[:200]!r} .. {lines[-1][:200]!r}'
+                    self._add_violation(f'{name} wrote {text}')
                     return
                 continue
             started = started or event == events.Event.STARTED
             if event == events.Event.UNEXPECTED:
-                self._tell(f'{name}: {line[:400]}')
-        if found.status is None or found.killed:
+                self._add_violation(f'{name}: {line[:400]}')
+        if process.exit_status is None or process.sigkill_sent:
             return
-        early = found.reloaded_early and found.status == -signal.SIGHUP
-        if early:
-            # The interpreter's own start: finding 4.
+        ended_by_sighup = (
+            process.sighup_unhandled and process.exit_status == -signal.SIGHUP
+        )
+        if ended_by_sighup:
+            # While the interpreter starts, SIGHUP ends the process.
             return
-        if not found.asked_to_end:
-            self._tell(f'{name} ended by itself: {found.status}')
-        elif found.status != 0 and started:
-            # Before it serves, SIGTERM may end it like any program.
-            self._tell(f'{name} ended with {found.status}')
+        if not process.sigterm_sent:
+            self._add_violation(
+                f'{name} exited by itself: {process.exit_status}'
+            )
+        elif process.exit_status != 0 and started:
+            # Before the program serves, SIGTERM ends it with that signal.
+            self._add_violation(
+                f'{name} exited with status {process.exit_status}'
+            )
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts one way and resets."""
+"""A loopback TCP proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -7,32 +7,32 @@
 
 from aspenfold_standins import http11
 
-CHUNK = 65_536
-"""Bytes read at once."""
+MAX_READ_BYTES = 65_536
 
-POLL_S = 0.02
-"""How often a silenced direction looks whether it may go on."""
+BLOCKED_POLL_INTERVAL_S = 0.02
 
 
 class LinkFault(enum.Enum):
-    """What a link does to bytes and to new connections."""
+    """How a link treats data and new connections."""
 
     NONE = 'none'
     DELAY = 'delay'
-    SILENT = 'silent'
-    NO_ANSWERS = 'no-answers'
-    """Bytes reach the target, none come back."""
+    NO_DATA = 'silent'
+    """No data is forwarded in either direction."""
+
+    NO_RESPONSES = 'no-answers'
+    """Data reaches the target, but none comes back."""
 
     RESET = 'reset'
-    """New connections are reset; open ones were reset as it began."""
+    """Open connections are reset at the start, new ones at once."""
 
 
 DELAY_S = 0.06
-"""Over the 20 ms and more that links of a region take at their worst."""
+"""Delay of each chunk; well above the latency within a region."""
 
 
 class LinkProxy:
-    """Forwards connections to one address."""
+    """Forwards connections to one target address, with faults on demand."""
 
     def __init__(
         self,
@@ -50,33 +50,37 @@
         self.port = 0
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port of ``listen_host``, and set ``port``."""
         self._server = await asyncio.start_server(
             self._serve, self.listen_host, 0
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop, and reset what is open."""
+        """Stop listening and reset every connection."""
         assert self._server is not None
         self._server.close()
         self.reset_all()
 
     def start_fault(self, fault: LinkFault) -> None:
-        """Misbehave from now on."""
+        """Apply a fault until ``end_fault``."""
         self.fault = fault
         if fault is LinkFault.RESET:
             self.reset_all()
 
     def end_fault(self) -> None:
-        """Behave; what was held up is not delivered late."""
-        held = (LinkFault.SILENT, LinkFault.NO_ANSWERS)
-        if self.fault in held:
+        """End the fault.
+
+        Connections on which it blocked data are reset, so that no data
+        arrives late.
+        """
+        blocking = (LinkFault.NO_DATA, LinkFault.NO_RESPONSES)
+        if self.fault in blocking:
             self.reset_all()
         self.fault = LinkFault.NONE
 
     def reset_all(self) -> None:
-        """Reset every connection."""
+        """Reset every open connection."""
         for writer in list(self._writers):
             _reset(writer)
 
@@ -88,59 +92,63 @@
             return
         self._writers.add(writer)
         try:
-            await self._join(reader, writer)
+            await self._forward(reader, writer)
         except (OSError, asyncio.CancelledError):
-            # The other side is gone, or the soak is over.
+            # One side closed the connection, or the test ended.
             _reset(writer)
         finally:
             self._writers.discard(writer)
 
-    async def _join(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(
+        target_reader, target_writer = await asyncio.open_connection(
             self._target_host, self._target_port
         )
-        self._writers.add(far_writer)
-        there = asyncio.ensure_future(self._copy(reader, far_writer, False))
-        back = asyncio.ensure_future(self._copy(far_reader, writer, True))
+        self._writers.add(target_writer)
+        to_target = asyncio.ensure_future(
+            self._copy(reader, target_writer, False)
+        )
+        to_caller = asyncio.ensure_future(
+            self._copy(target_reader, writer, True)
+        )
         try:
             done, _ = await asyncio.wait(
-                {there, back}, return_when=asyncio.FIRST_COMPLETED
+                {to_target, to_caller}, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
                 task.result()
-            # A caller that closes has left; a server that closes is done.
+            # Either side closing ends the connection.
             writer.close()
-            far_writer.close()
+            target_writer.close()
         finally:
-            there.cancel()
-            back.cancel()
-            self._writers.discard(far_writer)
+            to_target.cancel()
+            to_caller.cancel()
+            self._writers.discard(target_writer)
             if self.fault is LinkFault.RESET:
-                _reset(far_writer)
-            far_writer.close()
+                _reset(target_writer)
+            target_writer.close()
 
     async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answers: bool,
+        is_response: bool,
     ) -> None:
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(MAX_READ_BYTES):
             if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(DELAY_S)
-            while self._holds(answers):
-                await asyncio.sleep(POLL_S)
+            while self._is_blocked(is_response):
+                await asyncio.sleep(BLOCKED_POLL_INTERVAL_S)
             writer.write(data)
             await writer.drain()
-        while self._holds(answers):
-            await asyncio.sleep(POLL_S)
+        while self._is_blocked(is_response):
+            await asyncio.sleep(BLOCKED_POLL_INTERVAL_S)
 
-    def _holds(self, answers: bool) -> bool:
-        if self.fault is LinkFault.NO_ANSWERS:
-            return answers
-        return self.fault is LinkFault.SILENT
+    def _is_blocked(self, is_response: bool) -> bool:
+        if self.fault is LinkFault.NO_RESPONSES:
+            return is_response
+        return self.fault is LinkFault.NO_DATA
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
--- a/tests/soak/main.py
+++ b/tests/soak/main.py
@@ -1,4 +1,4 @@
-"""``python -m tests.soak.main``: soaks by seed; see docs/OPERATIONS.md."""
+"""Runs soaks: ``python -m tests.soak.main``; see docs/OPERATIONS.md."""
 
 import asyncio
 import dataclasses
@@ -16,27 +16,31 @@
 from tests.soak import soak_history
 from tests.soak import system_under_test
 
-GATEWAYS = 3
-CALLERS = 12
-GAP_S = 0.5
-"""Mean time between two faults; they last up to 3.5 s and overlap."""
+GATEWAY_COUNT = 3
+CALLER_COUNT = 12
+FAULT_INTERVAL_S = 0.5
+"""Mean time between two faults."""
 
-RECOVER_S = 8.0
-"""All is served again so long after the last fault."""
+RECOVERY_TIMEOUT_S = 8.0
+"""Time after the last fault within which every gateway must serve."""
 
 FINAL_REQUESTS = 10
 
 
 @dataclasses.dataclass(kw_only=True)
 class SoakResult:
-    """What one soak brought."""
+    """The result of one soak.
+
+    ``fault_log`` describes the injected faults in order of time;
+    ``folder`` has the programs' logs.
+    """
 
     seed: int
-    requests: int
-    served: int
-    switched: int
-    broken: list[str]
-    faults: list[str]
+    request_count: int
+    served_count: int
+    rank_switch_count: int
+    violations: list[str]
+    fault_log: list[str]
     folder: str
 
 
@@ -44,129 +48,141 @@
     *,
     seed: int,
     duration_s: float,
-    gateways: int = GATEWAYS,
-    gap_s: float = GAP_S,
+    gateway_count: int = GATEWAY_COUNT,
+    fault_interval_s: float = FAULT_INTERVAL_S,
     folder: pathlib.Path,
 ) -> SoakResult:
-    """Run one soak; what broke stands in the result."""
+    """Run one soak; the result lists the violated guarantees."""
     rng = random.Random(seed)
     system = system_under_test.SystemUnderTest(
-        folder=folder, rng=rng, gateways=gateways
+        folder=folder, rng=rng, gateway_count=gateway_count
     )
-    ledger = soak_history.SoakHistory()
-    struck = faults.FaultInjector(
+    history = soak_history.SoakHistory()
+    injector = faults.FaultInjector(
         system=system,
-        ledger=ledger,
+        history=history,
         rng=rng,
         agent_rng=random.Random(f'{seed} agents'),
-        gap_s=gap_s,
+        interval_s=fault_interval_s,
     )
     probers = [
-        callers.Prober(system=system, gateway=gateway, ledger=ledger)
+        callers.PlanProber(system=system, gateway=gateway, history=history)
         for gateway in system.gateways
     ]
     tasks: list[asyncio.Task[None]] = []
     checker = guarantees.GuaranteeChecker(
-        system=system, ledger=ledger, probers=probers
+        system=system, history=history, probers=probers
     )
     try:
         await system.start()
-        late = await _all_ready(system, probers)
-        if late:
-            checker.broken.append(f'not served at first: {late}')
-        seeds = [rng.randrange(1 << 30) for _ in range(CALLERS)]
-        askers = [
+        unready = await _wait_until_ready(system, probers)
+        if unready:
+            checker.violations.append(f'not ready after the start: {unready}')
+        caller_seeds = [rng.randrange(1 << 30) for _ in range(CALLER_COUNT)]
+        all_callers = [
             callers.Caller(
-                system=system, ledger=ledger, rng=random.Random(number)
+                system=system, history=history, rng=random.Random(caller_seed)
             )
-            for number in seeds
+            for caller_seed in caller_seeds
+        ]
+        tasks = [
+            asyncio.ensure_future(x.run()) for x in [*all_callers, *probers]
         ]
-        tasks = [asyncio.ensure_future(a.run()) for a in [*askers, *probers]]
-        await struck.run(duration_s)
-        late = await _all_ready(system, probers)
-        if late:
-            checker.broken.append(f'not served again: {late}')
+        await injector.run(duration_s)
+        unready = await _wait_until_ready(system, probers)
+        if unready:
+            checker.violations.append(f'not ready after the faults: {unready}')
         await asyncio.sleep(1.0)
     finally:
         for task in tasks:
             task.cancel()
-        done = await asyncio.gather(*tasks, return_exceptions=True)
+        results = await asyncio.gather(*tasks, return_exceptions=True)
         await system.stop()
-    for failure in done:
-        if isinstance(failure, Exception):
-            raise failure
-    broken = checker.check()
-    asked = ledger.asked.values()
+    for task_result in results:
+        if isinstance(task_result, Exception):
+            raise task_result
+    violations = checker.check()
+    requests = history.requests.values()
     return SoakResult(
         seed=seed,
-        requests=sum(not a.attempt.startswith('probe-') for a in asked),
-        served=sum(a.served for a in asked),
-        switched=system.group.simulation.rank_switch_count,
-        broken=broken,
-        faults=struck.told,
+        request_count=sum(
+            not x.attempt_id.startswith('probe-') for x in requests
+        ),
+        served_count=sum(x.served for x in requests),
+        rank_switch_count=system.group.simulation.rank_switch_count,
+        violations=violations,
+        fault_log=injector.log,
         folder=str(folder),
     )
 
 
-async def _all_ready(
-    system: system_under_test.SystemUnderTest, probers: list[callers.Prober]
+async def _wait_until_ready(
+    system: system_under_test.SystemUnderTest,
+    probers: list[callers.PlanProber],
 ) -> list[str]:
-    """Wait until every gateway serves the newest plan; name the others."""
-    end = time.monotonic() + RECOVER_S
+    """Wait until every gateway is ready and serves the newest plan.
+
+    Returns the names of gateways that did not within the timeout.
+    """
+    deadline = time.monotonic() + RECOVERY_TIMEOUT_S
     while True:
-        late = []
+        unready = []
         for gateway, prober in zip(system.gateways, probers, strict=True):
-            served = await prober.probe() == 200 and await gateway.ready()
-            if not served:
-                late.append(gateway.name)
-        if not late or time.monotonic() > end:
-            return late
+            is_ready = await prober.probe() == 200 and await gateway.is_ready()
+            if not is_ready:
+                unready.append(gateway.name)
+        if not unready or time.monotonic() > deadline:
+            return unready
         await asyncio.sleep(0.1)
 
 
 def run(
     seeds: str | int = '',
     seconds: float = 20.0,
-    gateways: int = GATEWAYS,
-    gap: float = GAP_S,
+    gateways: int = GATEWAY_COUNT,
+    gap: float = FAULT_INTERVAL_S,
     logs: str = '',
 ) -> None:
-    """Run soaks one after the other; exit with 1 if any broke a promise.
+    """Run soaks one after another; exit with 1 if a guarantee is violated.
 
-    ``seeds`` is a number, or several with commas, or FROM-TO; without
-    it five fresh ones are drawn.  Logs go below the folder ``logs``.
+    ``seeds`` is a number, numbers with commas between, or FROM-TO; by
+    default five random seeds are used.  ``seconds`` is the duration of
+    the faults, ``gap`` the mean time between two.  The logs are written
+    below the folder ``logs``, by default a new temporary folder.
     """
     folder = pathlib.Path(logs or tempfile.mkdtemp(prefix='soak-'))
-    failed = 0
-    for seed in _parse(seeds):
-        place = folder / str(seed)
-        place.mkdir(parents=True, exist_ok=True)
+    failed_count = 0
+    for seed in _parse_seeds(seeds):
+        seed_folder = folder / str(seed)
+        seed_folder.mkdir(parents=True, exist_ok=True)
         result = asyncio.run(
             run_soak(
                 seed=seed,
                 duration_s=seconds,
-                gateways=gateways,
-                gap_s=gap,
-                folder=place,
+                gateway_count=gateways,
+                fault_interval_s=gap,
+                folder=seed_folder,
             )
         )
-        (place / 'faults.txt').write_text('\n'.join(result.faults) + '\n')
-        failed += bool(result.broken)
+        (seed_folder / 'faults.txt').write_text(
+            '\n'.join(result.fault_log) + '\n'
+        )
+        failed_count += bool(result.violations)
         sys.stdout.write(
-            f'seed {seed}: {len(result.faults)} faults, '
-            f'{result.requests} requests, {result.served} served, '
-            f'{result.switched} switches of ranks, '
-            f'{len(result.broken)} broken\n'
+            f'seed {seed}: {len(result.fault_log)} faults, '
+            f'{result.request_count} requests, {result.served_count} served, '
+            f'{result.rank_switch_count} rank map switches, '
+            f'{len(result.violations)} violations\n'
         )
-        for line in result.broken[:20]:
-            sys.stdout.write(f'    {line}\n')
+        for violation in result.violations[:20]:
+            sys.stdout.write(f'    {violation}\n')
         sys.stdout.flush()
-    if failed:
+    if failed_count:
         sys.stdout.write(f'logs in {folder}\n')
         sys.exit(1)
 
 
-def _parse(seeds: str | int | tuple[int, ...]) -> list[int]:
+def _parse_seeds(seeds: str | int | tuple[int, ...]) -> list[int]:
     if isinstance(seeds, tuple):
         return list(seeds)
     text = str(seeds)
--- a/tests/soak/rank_group.py
+++ b/tests/soak/rank_group.py
@@ -1,7 +1,7 @@
-"""Endpoints that are ranks of one group, over HTTP.
+"""Stand-ins of the ranks of one group, served over HTTP.
 
-The group's state is that of the random histories; here its orders come
-from real gateways, and may be carried out seconds late.
+Their state is that of the simulated ranks, but orders come from real
+gateways.  Orders can be executed late and lose their answers.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 from tests.lib import simulated_ranks
 
 EXPERTS = 8
-SHIFT_S = 1.5
-"""How often other experts are in demand, so that maps change."""
+DEMAND_SHIFT_INTERVAL_S = 1.5
+"""Interval at which another expert becomes the busiest."""
 
-TICK_S = simulated_ranks.TICK_INTERVAL.total_seconds()
+TICK_INTERVAL_S = simulated_ranks.TICK_INTERVAL.total_seconds()
 
-OPS = {
+OPERATIONS = {
     'prepare': rank_protocol.Op.PREPARE,
     'arm': rank_protocol.Op.ARM,
     'disarm': rank_protocol.Op.DISARM,
@@ -30,140 +30,154 @@
     'go': rank_protocol.Op.RELEASE,
 }
 
-STATUS = {
+ANSWER_STATUSES = {
     rank_protocol.Answer.ACCEPTED: 202,
     rank_protocol.Answer.REFUSED: 409,
     rank_protocol.Answer.FENCED: 412,
 }
 
-NO_LEADERS = dataclasses.replace(
+SIMULATION_FAULTS = dataclasses.replace(
     simulated_ranks.NO_FAULTS, leader_starts_per_s=0, idle_fraction=0.3
 )
+"""No simulated leaders: real gateways lead the group."""
 
-CALM = (0.0, 0.0)
-TROUBLED = (0.2, 0.1)
-"""Shares of orders that are carried out late, and whose answer is lost."""
+NO_ORDER_FAULTS = (0.0, 0.0)
+ORDER_FAULTS = (0.2, 0.1)
+"""Fractions of orders that execute late, and whose answer is lost."""
 
-LATE_S = (2.0, 8.0)
-"""How late orders are carried out; the platform's may be 12 s."""
+ORDER_DELAY_RANGE_S = (2.0, 8.0)
+"""Delay of orders that execute late; on the platform it can reach 12 s."""
 
 
 class RankGroup:
-    """A group of ranks whose passes begin in real time."""
+    """A simulated group of ranks that runs in real time.
+
+    ``order_faults`` holds the fractions of orders that execute late and
+    that lose their answer.  ``violation`` is set when a pass begins while
+    the ranks use different maps.
+    """
 
     def __init__(self, *, size: int, rng: random.Random) -> None:
         self.simulation = simulated_ranks.SimulatedRanks(
-            seed=rng.randrange(1 << 30), size=size, faults=NO_LEADERS
+            seed=rng.randrange(1 << 30), size=size, faults=SIMULATION_FAULTS
         )
-        self.lost = CALM
+        self.order_faults = NO_ORDER_FAULTS
         self.violation: simulated_ranks.MixedMapsError | None = None
         self._rng = rng
-        self._counts = [[0] * EXPERTS for _ in range(size)]
-        self._late: set[asyncio.Task[None]] = set()
+        self._expert_counts = [[0] * EXPERTS for _ in range(size)]
+        self._late_orders: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Begin passes for ever, until one begins with two maps."""
+        """Run passes until one begins while ranks use different maps."""
         loop = asyncio.get_running_loop()
-        shift_at = 0.0
-        hot = 0
-        done = loop.time()
+        next_shift_at = 0.0
+        busiest = 0
+        simulated_until = loop.time()
         while self.violation is None:
-            await asyncio.sleep(TICK_S)
-            if loop.time() >= shift_at:
-                shift_at = loop.time() + SHIFT_S
-                hot = self._rng.randrange(EXPERTS)
-            for counts in self._counts:
+            await asyncio.sleep(TICK_INTERVAL_S)
+            if loop.time() >= next_shift_at:
+                next_shift_at = loop.time() + DEMAND_SHIFT_INTERVAL_S
+                busiest = self._rng.randrange(EXPERTS)
+            for counts in self._expert_counts:
                 for expert in range(EXPERTS):
-                    counts[expert] += 80 if expert == hot else 5
+                    counts[expert] += 80 if expert == busiest else 5
             try:
-                while done < loop.time():
-                    done += TICK_S
+                while simulated_until < loop.time():
+                    simulated_until += TICK_INTERVAL_S
                     self.simulation.run(simulated_ranks.TICK_INTERVAL)
             except simulated_ranks.MixedMapsError as exc:
                 self.violation = exc
 
-    def crash(self) -> None:
-        """Lose a rank: the group forms anew in a later epoch."""
+    def crash_rank(self) -> None:
+        """Crash a rank; the group forms again in a later epoch.
+
+        Nothing happens while the group is forming.
+        """
         if self.simulation.is_open:
             self.simulation.crash_rank()
 
     def stop(self) -> None:
-        """Carry out no late order any more."""
-        for task in self._late:
+        """Drop the orders that are waiting to be executed late."""
+        for task in self._late_orders:
             task.cancel()
 
-    # -- calls -----------------------------------------------------------
-
     def report(self, rank: int, *, fresh: bool) -> dict[str, object] | None:
-        """Return a rank's report as it goes over the wire."""
-        found = self.simulation.report(rank, fresh=fresh)
-        if found is None:
+        """Return a rank's report as JSON fields, None before the first one.
+
+        ``fresh`` reports are up to date; others lag behind.
+        """
+        report = self.simulation.report(rank, fresh=fresh)
+        if report is None:
             return None
-        armed = found.armed
+        armed = report.armed
         return {
             'group': {
-                'name': found.group,
-                'epoch': found.epoch,
+                'name': report.group,
+                'epoch': report.epoch,
                 'rank': rank,
-                'state': 'open' if found.open else 'broken',
+                'state': 'open' if report.open else 'broken',
             },
-            'size': found.size,
-            'step': found.step,
-            'map': found.version,
-            'prepared': found.prepared,
+            'size': report.size,
+            'step': report.step,
+            'map': report.version,
+            'prepared': report.prepared,
             'armed': armed and {'version': armed.version, 'step': armed.step},
-            'held': found.held,
+            'held': report.held,
         }
 
-    def picked(self, rank: int, lists: bool) -> dict[str, object]:
-        """Return a rank's counts, or its part of the map in use."""
+    def counts_or_map(self, rank: int, return_map: bool) -> dict[str, object]:
+        """Return a rank's expert counts, or its part of the current map."""
         simulation = self.simulation
-        if not lists:
+        if not return_map:
             return {
                 'epoch': simulation.epoch,
                 'step': simulation.step,
-                'counts': list(self._counts[rank]),
+                'counts': list(self._expert_counts[rank]),
             }
         state = simulation.ranks[rank]
         size = len(simulation.ranks)
         experts = [list(range(rank, EXPERTS, size))]
         if state.map:
-            experts = [list(one_set[rank]) for one_set in state.map]
+            experts = [list(expert_set[rank]) for expert_set in state.map]
         return {'map': {'version': state.version, 'experts': experts}}
 
-    async def order(
+    async def execute_order(
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
-        """Carry an order out; None: no answer is to be given."""
+        """Execute an order; return its HTTP status.
+
+        Returns None if the order executes late or its answer is lost.
+        """
         order = rank_protocol.Order(
             rank=rank,
-            op=OPS[message['op']],
+            op=OPERATIONS[message['op']],
             epoch=message['epoch'],
             token=message['fencing_token'],
             version=message.get('version', 0),
             step=message.get('step', 0),
-            new_map=_frozen(message.get('map', [])),
+            new_map=_to_tuples(message.get('map', [])),
         )
-        late, lost = self.lost
-        if self._rng.random() < late:
-            task = asyncio.create_task(self._carry_out_late(order))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+        late_fraction, lost_fraction = self.order_faults
+        if self._rng.random() < late_fraction:
+            task = asyncio.create_task(self._execute_late(order))
+            self._late_orders.add(task)
+            task.add_done_callback(self._late_orders.discard)
             return None
         answer = self.simulation.execute(order)
-        if self._rng.random() < lost:
+        if self._rng.random() < lost_fraction:
             return None
-        return STATUS[answer]
+        return ANSWER_STATUSES[answer]
 
-    async def _carry_out_late(self, order: rank_protocol.Order) -> None:
-        await asyncio.sleep(self._rng.uniform(*LATE_S))
+    async def _execute_late(self, order: rank_protocol.Order) -> None:
+        await asyncio.sleep(self._rng.uniform(*ORDER_DELAY_RANGE_S))
         self.simulation.execute(order)
 
 
 class RankWorker(platform_worker.Worker):
     """An endpoint that is one rank of a group.
 
-    Its own host gets ``fresh`` reports, at a port of its own here.
+    With ``fresh`` its reports are up to date, as the agent on the rank's
+    own host reads them.
     """
 
     def __init__(
@@ -178,14 +192,14 @@
         path, _, query = exchange.request.target.partition('?')
         match path:
             case '/api/report':
-                found = self._group.report(self._rank, fresh=self._fresh)
-                await _json(exchange, found)
+                body = self._group.report(self._rank, fresh=self._fresh)
+                await _respond_json(exchange, body)
             case '/api/picked':
-                found = self._group.picked(self._rank, 'lists' in query)
-                await _json(exchange, found)
+                body = self._group.counts_or_map(self._rank, 'lists' in query)
+                await _respond_json(exchange, body)
             case '/api/order':
                 message = json.loads(exchange.request.body)
-                status = await self._group.order(self._rank, message)
+                status = await self._group.execute_order(self._rank, message)
                 if status is None:
                     await asyncio.Event().wait()
                 await exchange.respond(status or 0)
@@ -193,7 +207,7 @@
                 await super()._handle(exchange)
 
 
-async def _json(
+async def _respond_json(
     exchange: http11.Exchange, body: dict[str, object] | None
 ) -> None:
     if body is None:
@@ -202,8 +216,8 @@
     await exchange.respond(200, {}, json.dumps(body).encode())
 
 
-def _frozen(value: typing.Any) -> typing.Any:
-    """Return lists as tuples, so that maps can be compared as wholes."""
+def _to_tuples(value: typing.Any) -> typing.Any:
+    """Replace lists by tuples, so that maps can be compared and hashed."""
     if isinstance(value, list):
-        return tuple(_frozen(item) for item in value)
+        return tuple(_to_tuples(item) for item in value)
     return value
--- a/tests/soak/soak_history.py
+++ b/tests/soak/soak_history.py
@@ -1,16 +1,16 @@
-"""What callers asked and got, and what was disturbed meanwhile."""
+"""The requests of one soak, and the periods in which faults were active."""
 
 import dataclasses
 import time
 
 from tests.lib import gateway_rig
 
-ONCE = frozenset({'/unsafe/', '/once/', '/song/', '/model/'})
-"""Paths whose requests may run once at most."""
+AT_MOST_ONCE_PATHS = frozenset({'/unsafe/', '/once/', '/song/', '/model/'})
+"""Paths whose requests may be executed at most once."""
 
-STREAMS = frozenset({'/stream/', '/song/', '/model/'})
+STREAM_PATHS = frozenset({'/stream/', '/song/', '/model/'})
 
-PATHS = (
+REQUEST_PATHS = (
     '/safe/',
     '/unsafe/',
     '/once/',
@@ -20,55 +20,68 @@
     '/short/',
 )
 
-SETTLE_S = 3.0
-"""How long after a disturbance its subject counts as disturbed; the
-users' pages say 3 s."""
+RECOVERY_MARGIN_S = 3.0
+"""Time after the end of a fault during which its effects are accepted."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class RequestRecord:
-    """One request of a caller, and what came of it."""
+    """One request, and the response that its caller received.
 
-    attempt: str
+    ``process_number`` counts the processes of the gateway, from 1.
+    """
+
+    attempt_id: str
     path: str
     gateway: str
-    incarnation: int
+    process_number: int
     sent_at: float
-    left_early: bool = False
-    answer: gateway_rig.Response | None = None
+    disconnected_early: bool = False
+    response: gateway_rig.Response | None = None
     ended_at: float = 0.0
 
     @property
     def served(self) -> bool:
-        """Whether the caller got a whole success."""
-        found = self.answer
-        return found is not None and found.complete and found.status == 200
+        """Whether the caller received a complete response with status 200."""
+        response = self.response
+        return (
+            response is not None
+            and response.complete
+            and response.status == 200
+        )
 
 
 class SoakHistory:
-    """All requests, and the spans in which something was disturbed."""
+    """Records requests by attempt id, and fault periods by subject.
+
+    A subject is the name of a gateway or an endpoint, ``store`` or
+    ``group``.  Times are those of ``time.monotonic()``.
+    """
 
     def __init__(self) -> None:
-        self.asked: dict[str, RequestRecord] = {}
-        self._spans: dict[str, list[list[float]]] = {}
+        self.requests: dict[str, RequestRecord] = {}
+        self._fault_periods: dict[str, list[list[float]]] = {}
+
+    def add_request(self, request: RequestRecord) -> None:
+        """Record a request; call this before sending it."""
+        self.requests[request.attempt_id] = request
 
-    def add(self, asked: RequestRecord) -> None:
-        """Note a request before it is sent."""
-        self.asked[asked.attempt] = asked
+    def start_fault(self, subject: str) -> list[float]:
+        """Start a fault period of ``subject`` and return it."""
+        period = [time.monotonic(), float('inf')]
+        self._fault_periods.setdefault(subject, []).append(period)
+        return period
 
-    def begin(self, subject: str) -> list[float]:
-        """A disturbance of ``subject`` begins; give its open span."""
-        span = [time.monotonic(), float('inf')]
-        self._spans.setdefault(subject, []).append(span)
-        return span
+    def end_fault(self, period: list[float]) -> None:
+        """End a fault period that ``start_fault`` returned."""
+        period[1] = time.monotonic()
 
-    def end(self, span: list[float]) -> None:
-        """The disturbance has ended."""
-        span[1] = time.monotonic()
+    def is_fault_free(self, subject: str, since: float, until: float) -> bool:
+        """Return whether no fault affected ``subject`` in this interval.
 
-    def calm(self, subject: str, since: float, until: float) -> bool:
-        """Return whether ``subject`` was in touch from ``since`` on."""
+        A fault has effects until ``RECOVERY_MARGIN_S`` after its end.
+        """
         return all(
-            end + SETTLE_S < since or begin > until
-            for begin, end in self._spans.get(subject, ())
+            end + RECOVERY_MARGIN_S < since or begin > until
+            for begin, end in self._fault_periods.get(subject, ())
         )
--- a/tests/soak/system_under_test.py
+++ b/tests/soak/system_under_test.py
@@ -1,4 +1,8 @@
-"""The system under soak: store, endpoints, and gateways as processes."""
+"""The system that a soak tests.
+
+Gateways and rank agents run as processes; the store and the endpoints are
+stand-ins in this process.
+"""
 
 import asyncio
 import dataclasses
@@ -23,38 +27,44 @@
 from tests.soak import links
 from tests.soak import rank_group
 
-ROOT = pathlib.Path(__file__).resolve().parents[2]
+REPOSITORY_ROOT = pathlib.Path(__file__).resolve().parents[2]
 
-PROGRAM = (sys.executable, str(ROOT / 'deploy' / 'run.py'))
-"""As the platform starts a program, which is named after it."""
+RUN_COMMAND = (sys.executable, str(REPOSITORY_ROOT / 'deploy' / 'run.py'))
+"""Starts the program that the last argument names."""
 
 GRACE_S = 3.0
 GROUP_SIZE = 4
-PLAIN_ENDPOINTS = 3
-EVENTS = 8
-EVENT_GAP_S = 0.04
-WORK_S = 0.02
+PLAIN_ENDPOINT_COUNT = 3
+EVENT_COUNT = 8
+EVENT_INTERVAL_S = 0.04
+EXECUTION_S = 0.02
 ORGANISATION = 'one'
 
 
 @dataclasses.dataclass(kw_only=True)
 class ProgramProcess:
-    """One process of a gateway, from its start to its end."""
+    """One process of a program, and the signals that it was sent.
+
+    ``exit_status`` is None while it runs.
+    """
 
-    gateway: str
+    program: str
     process: asyncio.subprocess.Process
-    target: signals.ProcessHandle
-    log: pathlib.Path
-    asked_to_end: bool = False
-    killed: bool = False
-    status: int | None = None
+    handle: signals.ProcessHandle
+    log_path: pathlib.Path
+    sigterm_sent: bool = False
+    sigkill_sent: bool = False
+    exit_status: int | None = None
     paused: bool = False
-    reloaded_early: bool = False
-    """SIGHUP came before the program's first line, which ignores it."""
+    sighup_unhandled: bool = False
+    """SIGHUP was sent before the program ignored or handled it."""
 
 
 class SupervisedProgram:
-    """One program on one host: its settings, and its processes."""
+    """A program on one host, which is started again when it ends.
+
+    ``processes`` holds all its processes, the newest last.
+    """
 
     COMMAND: tuple[str, ...] = ()
 
@@ -62,325 +72,346 @@
         self.name = name
         self.host = host
         self.folder = folder
-        self.incarnations: list[ProgramProcess] = []
+        self.processes: list[ProgramProcess] = []
 
     @property
-    def current(self) -> ProgramProcess | None:
-        """The process that runs, None between two."""
-        if not self.incarnations:
+    def current_process(self) -> ProgramProcess | None:
+        """The running process, None if the program is not running."""
+        if not self.processes:
             return None
-        newest = self.incarnations[-1]
-        return newest if newest.status is None else None
+        newest = self.processes[-1]
+        return newest if newest.exit_status is None else None
 
     def settings(self) -> dict[str, object]:
-        """Return what the platform would write into the settings file."""
+        """Return the settings that the platform writes for the program."""
         raise NotImplementedError
 
     def write_settings(self) -> None:
-        """Write the settings file."""
+        """Write the settings to the file that the program reads."""
         path = self.folder / f'{self.name}.json'
         path.write_text(json.dumps(self.settings()))
 
     async def start(self) -> ProgramProcess:
-        """Start a process; its output goes to a file of its own."""
-        number = len(self.incarnations) + 1
-        log = self.folder / f'{self.name}-{number}.log'
-        variables = {
+        """Start a process that writes its output to its own log file."""
+        number = len(self.processes) + 1
+        log_path = self.folder / f'{self.name}-{number}.log'
+        environment = {
             **os.environ,
             settings.PATH_VARIABLE: str(self.folder / f'{self.name}.json'),
         }
-        with log.open('wb') as output:
+        with log_path.open('wb') as output:
             process = await asyncio.create_subprocess_exec(
-                *self.COMMAND, env=variables, stdout=output, stderr=output
+                *self.COMMAND, env=environment, stdout=output, stderr=output
             )
-        found = ProgramProcess(
-            gateway=self.name,
+        started = ProgramProcess(
+            program=self.name,
             process=process,
-            target=signals.ProcessHandle(pid=process.pid),
-            log=log,
+            handle=signals.ProcessHandle(pid=process.pid),
+            log_path=log_path,
         )
-        self.incarnations.append(found)
-        return found
+        self.processes.append(started)
+        return started
 
     async def keep_running(self) -> None:
-        """Start a process again whenever it has ended."""
+        """Start a new process whenever one has ended."""
         while True:
-            found = self.incarnations[-1]
-            found.status = await found.process.wait()
+            current = self.processes[-1]
+            current.exit_status = await current.process.wait()
             await asyncio.sleep(0.2)
             await self.start()
 
-    async def end(self) -> None:
-        """End the process that runs, by its id."""
-        found = self.current
-        if found is not None and found.process.returncode is None:
-            self.signal(signal.SIGCONT)
-            self.signal(signal.SIGKILL)
-            await found.process.wait()
-        for incarnation in self.incarnations:
-            incarnation.target.close()
-
-    def signal(self, number: signal.Signals) -> None:
-        """Signal the process that runs, if one does."""
-        found = self.current
-        if found is None or found.process.returncode is not None:
+    async def kill(self) -> None:
+        """Kill the running process and release all process handles."""
+        current = self.current_process
+        if current is not None and current.process.returncode is None:
+            self.send_signal(signal.SIGCONT)
+            self.send_signal(signal.SIGKILL)
+            await current.process.wait()
+        for process in self.processes:
+            process.handle.close()
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the running process, if there is one."""
+        current = self.current_process
+        if current is None or current.process.returncode is not None:
             return
         if number is signal.SIGTERM:
-            found.asked_to_end = True
+            current.sigterm_sent = True
         if number is signal.SIGKILL:
-            found.killed = True
+            current.sigkill_sent = True
         if number is signal.SIGHUP:
-            pid = found.process.pid
-            found.reloaded_early |= not signals.is_handled(pid, number)
+            pid = current.process.pid
+            current.sighup_unhandled |= not signals.is_handled(pid, number)
         if number in (signal.SIGSTOP, signal.SIGCONT):
-            found.paused = number is signal.SIGSTOP
-        found.target.send(number)
+            current.paused = number is signal.SIGSTOP
+        current.handle.send(number)
 
 
 class GatewayProgram(SupervisedProgram):
-    """One gateway's host: its addresses, links and processes."""
+    """A gateway, with the link proxies to it and from it to the store.
 
-    COMMAND = (*PROGRAM, 'gateway')
+    ``caller_link`` forwards callers' connections to the gateway,
+    ``store_link`` the gateway's connections to the store.
+    """
+
+    COMMAND = (*RUN_COMMAND, 'gateway')
 
     def __init__(
-        self, *, name: str, host: str, folder: pathlib.Path, internal: int
+        self, *, name: str, host: str, folder: pathlib.Path, internal_port: int
     ) -> None:
         super().__init__(name=name, host=host, folder=folder)
-        self.internal = internal
-        self.callers, self.health = free_ports.find_ports(host, 2)
-        self.front = links.LinkProxy(
-            target_host=host, target_port=self.callers
+        self.internal_port = internal_port
+        self.caller_port, self.health_port = free_ports.find_ports(host, 2)
+        self.caller_link = links.LinkProxy(
+            target_host=host, target_port=self.caller_port
         )
-        self.store: links.LinkProxy
+        self.store_link: links.LinkProxy
 
     def settings(self) -> dict[str, object]:
-        """Return what the platform would write into the settings file."""
+        """Return the settings that the platform writes for the program."""
         return {
             'node': self.name,
             'ip': self.host,
             'zone': 'zone-a',
             'listen': {
-                'front': f'{self.host}:{self.callers}',
-                'ready': f'{self.host}:{self.health}',
+                'front': f'{self.host}:{self.caller_port}',
+                'ready': f'{self.host}:{self.health_port}',
             },
-            'internal_port_range': [self.internal, self.internal + 1],
+            'internal_port_range': [
+                self.internal_port,
+                self.internal_port + 1,
+            ],
             'bounds': {'grace_s': GRACE_S},
-            'platform': {'address': f'127.0.0.1:{self.store.port}'},
+            'platform': {'address': f'127.0.0.1:{self.store_link.port}'},
         }
 
-    async def ready(self) -> bool:
-        """Ask for its health, as the balancer does."""
+    async def is_ready(self) -> bool:
+        """Return whether the gateway's health check succeeds."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
-                    self.host, self.health
+                    self.host, self.health_port
                 )
                 writer.write(b'GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n')
-                answer = await gateway_rig.read_response(reader)
+                response = await gateway_rig.read_response(reader)
                 writer.close()
         except (OSError, TimeoutError):
             return False
-        return answer.status == 200
+        return response.status == 200
 
 
 class RankAgentProgram(SupervisedProgram):
-    """One rank's host, with the agent beside its engine."""
+    """The agent on the host of a rank.
+
+    ``engine_port`` is where it reaches the rank's engine.
+    """
 
-    COMMAND = (*PROGRAM, 'rank_agent')
+    COMMAND = (*RUN_COMMAND, 'rank_agent')
 
     def __init__(
-        self, *, name: str, host: str, folder: pathlib.Path, internal: int
+        self, *, name: str, host: str, folder: pathlib.Path, internal_port: int
     ) -> None:
         super().__init__(name=name, host=host, folder=folder)
-        self.internal = internal
+        self.internal_port = internal_port
         self.engine_port = 0
 
     def settings(self) -> dict[str, object]:
-        """Return what the platform would write into the settings file."""
+        """Return the settings that the platform writes for the program."""
         return {
             'node': self.name,
             'ip': self.host,
             'zone': 'zone-a',
             'app': f'127.0.0.1:{self.engine_port}',
-            'internal_port_range': [self.internal, self.internal + 1],
+            'internal_port_range': [
+                self.internal_port,
+                self.internal_port + 1,
+            ],
         }
 
 
 @dataclasses.dataclass(kw_only=True)
 class Endpoint:
-    """One incarnation of an endpoint, behind its link."""
+    """A running endpoint, reached through a link proxy.
+
+    ``draining_since`` is None while it is in service.
+    """
 
     worker: platform_worker.Worker
     link: links.LinkProxy
     service: str
-    leaving_at: float | None = None
-    troubled: list[float] = dataclasses.field(default_factory=list)
+    draining_since: float | None = None
+    fault_times: list[float] = dataclasses.field(default_factory=list)
 
-    def entry(self) -> dict[str, object]:
-        """Return its entry in the store."""
-        state = 'ready' if self.leaving_at is None else 'draining'
-        found = self.worker.store_record(self.service, state)
+    def store_record(self) -> dict[str, object]:
+        """Return the endpoint's record in the platform's store."""
+        state = 'ready' if self.draining_since is None else 'draining'
+        record = self.worker.store_record(self.service, state)
         address = f'{self.link.listen_host}:{self.link.port}'
-        return {**found, 'address': address}
+        return {**record, 'address': address}
 
 
 class SystemUnderTest:
-    """Everything that runs in one soak."""
+    """The store, the endpoints, a rank group, its agents and the gateways.
+
+    ``plan_version`` is the version of the newest plan, ``plan_written_at``
+    the monotonic time at which it was written.
+    """
 
     def __init__(
-        self, *, folder: pathlib.Path, rng: random.Random, gateways: int
+        self, *, folder: pathlib.Path, rng: random.Random, gateway_count: int
     ) -> None:
         self.rng = rng
         self.store = metadata_store.MetadataStore()
         self.group = rank_group.RankGroup(size=GROUP_SIZE, rng=rng)
         self.endpoints: list[Endpoint] = []
-        self.gone: list[Endpoint] = []
-        self._for_agents: list[rank_group.RankWorker] = []
-        self.version = 0
-        self.accepted_at = 0.0
+        self.removed_endpoints: list[Endpoint] = []
+        self._agent_workers: list[rank_group.RankWorker] = []
+        self.plan_version = 0
+        self.plan_written_at = 0.0
         self.extra_routes: list[str] = []
-        # Not from the seed: two soaks of one seed may run side by side.
-        fresh = random.SystemRandom()
-        network = f'127.{fresh.randrange(20, 250)}.{fresh.randrange(250)}'
-        hosts = [f'{network}.{n + 1}' for n in range(gateways + GROUP_SIZE)]
-        internal = free_ports.find_port_pair(hosts)
+        # Not drawn from the seed, so that soaks with the same seed can run
+        # at the same time.
+        os_rng = random.SystemRandom()
+        network = f'127.{os_rng.randrange(20, 250)}.{os_rng.randrange(250)}'
+        hosts = [
+            f'{network}.{n + 1}' for n in range(gateway_count + GROUP_SIZE)
+        ]
+        internal_port = free_ports.find_port_pair(hosts)
         self.gateways = [
             GatewayProgram(
                 name=f'gateway-{n}',
                 host=host,
                 folder=folder,
-                internal=internal,
+                internal_port=internal_port,
             )
-            for n, host in enumerate(hosts[:gateways])
+            for n, host in enumerate(hosts[:gateway_count])
         ]
-        self.rank_hosts = [
+        self.rank_agents = [
             RankAgentProgram(
                 name=f'rank-host-{n}',
                 host=host,
                 folder=folder,
-                internal=internal,
+                internal_port=internal_port,
             )
-            for n, host in enumerate(hosts[gateways:])
+            for n, host in enumerate(hosts[gateway_count:])
         ]
-        self._names = 0
+        self._endpoint_number = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start everything, the first plan included."""
+        """Start everything, and write the first plan."""
         await self.store.start()
-        self._spawn(self.group.run())
-        for _ in range(PLAIN_ENDPOINTS):
+        self._start_task(self.group.run())
+        for _ in range(PLAIN_ENDPOINT_COUNT):
             await self.add_endpoint()
-        for rank, host in enumerate(self.rank_hosts):
-            await self._add_rank(rank, host)
+        for rank, agent in enumerate(self.rank_agents):
+            await self._add_rank(rank, agent)
         await self.change_plan()
         for gateway in self.gateways:
-            gateway.store = links.LinkProxy(
+            gateway.store_link = links.LinkProxy(
                 target_host='127.0.0.1', target_port=self.store.port
             )
-            await gateway.store.start()
-            await gateway.front.start()
+            await gateway.store_link.start()
+            await gateway.caller_link.start()
         for program in self.programs:
             program.write_settings()
             await program.start()
-            self._spawn(program.keep_running())
+            self._start_task(program.keep_running())
 
     @property
     def programs(self) -> list[SupervisedProgram]:
-        """All programs that run as processes."""
-        return [*self.gateways, *self.rank_hosts]
+        """The programs that run as processes."""
+        return [*self.gateways, *self.rank_agents]
 
-    def _spawn(self, work: object) -> None:
-        task = asyncio.ensure_future(work)  # type: ignore[arg-type]
+    def _start_task(self, coroutine: object) -> None:
+        task = asyncio.ensure_future(coroutine)  # type: ignore[arg-type]
         self._tasks.add(task)
 
     async def stop(self) -> None:
-        """End what was started, by its process id."""
+        """Stop everything that ``start`` started."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.group.stop()
         for program in self.programs:
-            await program.end()
+            await program.kill()
         for gateway in self.gateways:
-            await gateway.front.stop()
-            await gateway.store.stop()
-        for worker in self._for_agents:
+            await gateway.caller_link.stop()
+            await gateway.store_link.stop()
+        for worker in self._agent_workers:
             await worker.stop()
-        for endpoint in [*self.endpoints, *self.gone]:
+        for endpoint in [*self.endpoints, *self.removed_endpoints]:
             await endpoint.worker.stop()
             await endpoint.link.stop()
         await self.store.stop()
 
-    # -- endpoints -------------------------------------------------------
-
     async def add_endpoint(self) -> Endpoint:
-        """Start a plain endpoint and list it."""
-        self._names += 1
-        worker = platform_worker.Worker(f'plain-{self._names}')
-        worker.script = sound
-        return await self._list(worker, 'plain')
+        """Start a plain endpoint and write its record to the store."""
+        self._endpoint_number += 1
+        worker = platform_worker.Worker(f'plain-{self._endpoint_number}')
+        worker.script = respond_normally
+        return await self._start_endpoint(worker, 'plain')
 
-    async def _add_rank(self, rank: int, host: RankAgentProgram) -> None:
+    async def _add_rank(self, rank: int, agent: RankAgentProgram) -> None:
         worker = rank_group.RankWorker(
             f'rank-{rank}', group=self.group, rank=rank
         )
-        worker.script = sound
-        await self._list(worker, 'model', host.host)
-        for_agent = rank_group.RankWorker(
+        worker.script = respond_normally
+        await self._start_endpoint(worker, 'model', agent.host)
+        agent_worker = rank_group.RankWorker(
             worker.name, group=self.group, rank=rank, fresh=True
         )
-        await for_agent.start()
-        self._for_agents.append(for_agent)
-        host.engine_port = for_agent.port
+        await agent_worker.start()
+        self._agent_workers.append(agent_worker)
+        agent.engine_port = agent_worker.port
 
-    async def _list(
+    async def _start_endpoint(
         self,
         worker: platform_worker.Worker,
         service: str,
         host: str = '127.0.0.1',
     ) -> Endpoint:
-        worker.event_count = EVENTS
-        worker.event_interval_s = EVENT_GAP_S
+        worker.event_count = EVENT_COUNT
+        worker.event_interval_s = EVENT_INTERVAL_S
         await worker.start()
         link = links.LinkProxy(
             target_host='127.0.0.1', target_port=worker.port, listen_host=host
         )
         await link.start()
-        found = Endpoint(worker=worker, link=link, service=service)
-        self.endpoints.append(found)
-        await self.tell(found)
-        return found
+        endpoint = Endpoint(worker=worker, link=link, service=service)
+        self.endpoints.append(endpoint)
+        await self.write_endpoint_record(endpoint)
+        return endpoint
 
-    async def tell(self, endpoint: Endpoint) -> None:
-        """Write an endpoint's entry."""
+    async def write_endpoint_record(self, endpoint: Endpoint) -> None:
+        """Write an endpoint's record to the store."""
         name = endpoint.worker.name
-        await self.store.put(endpoint_records.TOPIC, name, endpoint.entry())
+        await self.store.put(
+            endpoint_records.TOPIC, name, endpoint.store_record()
+        )
 
-    async def remove(self, endpoint: Endpoint) -> None:
-        """End an endpoint and remove its entry."""
+    async def remove_endpoint(self, endpoint: Endpoint) -> None:
+        """Stop an endpoint and remove its record from the store."""
         self.endpoints.remove(endpoint)
-        self.gone.append(endpoint)
+        self.removed_endpoints.append(endpoint)
         await endpoint.worker.stop()
         endpoint.link.start_fault(links.LinkFault.RESET)
         await self.store.remove(endpoint_records.TOPIC, endpoint.worker.name)
 
-    # -- the plan --------------------------------------------------------
-
     @property
     def probe_path(self) -> str:
-        """A path that only the newest plan has."""
-        return f'/v{self.version}/'
+        """The path of a route that only the newest plan has."""
+        return f'/v{self.plan_version}/'
 
     async def change_plan(self) -> None:
-        """Write a newer plan, with a path that only it has."""
-        self.version += self.rng.randrange(1, 4)
-        found = gateway_rig.make_plan(self.version)
-        routes = found['routes']
+        """Write a newer plan, with a route for ``probe_path``."""
+        self.plan_version += self.rng.randrange(1, 4)
+        plan = gateway_rig.make_plan(self.plan_version)
+        routes = plan['routes']
         assert isinstance(routes, list)
         probe = gateway_rig.make_route(self.probe_path, 'safe')
-        found['routes'] = [*routes, {**probe, 'allow_anonymous': True}]
-        services = found['services']
+        plan['routes'] = [*routes, {**probe, 'allow_anonymous': True}]
+        services = plan['services']
         assert isinstance(services, list)
         services[1]['engine'] = {
             'sets': 1,
@@ -388,20 +419,22 @@
             'placements': 4,
             'spare': 4,
         }
-        await self.store.put(config.TOPIC, config.KEY, found)
-        self.accepted_at = time.monotonic()
+        await self.store.put(config.TOPIC, config.KEY, plan)
+        self.plan_written_at = time.monotonic()
 
 
-async def sound(
+async def respond_normally(
     worker: platform_worker.Worker, exchange: http11.Exchange
 ) -> None:
-    """Work a while; the answer names its request."""
-    attempt = exchange.request.headers.get(platform_worker.ATTEMPT_HEADER, '')
+    """Execute the request, and stream events or name its attempt."""
+    attempt_id = exchange.request.headers.get(
+        platform_worker.ATTEMPT_HEADER, ''
+    )
     target = exchange.request.target
     if target.startswith(('/stream/', '/song/', '/model/')):
         await platform_worker.stream_events(worker, exchange)
         return
     worker.record_execution(exchange)
-    await asyncio.sleep(WORK_S)
+    await asyncio.sleep(EXECUTION_S)
     headers = worker.response_headers(exchange)
-    await exchange.respond(200, headers, b'answer to ' + attempt.encode())
+    await exchange.respond(200, headers, b'answer to ' + attempt_id.encode())
