--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -168,7 +168,7 @@
     """A missed violation would let a soak pass with a fault."""
     scenario = CheckerScenario(tmp_path)
     scenario.add_request('/unsafe/', 503)
-    scenario.worker.runs['soak-1'] = 2
+    scenario.worker.executions['soak-1'] = 2
     violations = scenario.find_violations()
     assert 'was executed 2 times' in violations
     assert 'was executed but got status 503' in violations
@@ -183,7 +183,7 @@
 
     scenario = CheckerScenario(tmp_path)
     scenario.add_request('/safe/', 200, b'', complete=False)
-    scenario.worker.runs['soak-1'] = 1
+    scenario.worker.executions['soak-1'] = 1
     assert 'was truncated' in scenario.find_violations()
 
     scenario = CheckerScenario(tmp_path)
--- a/tests/soak/guarantees.py
+++ b/tests/soak/guarantees.py
@@ -49,7 +49,7 @@
             *self._system.removed_endpoints,
         ]
         for endpoint in all_endpoints:
-            self._executions.update(endpoint.worker.runs)
+            self._executions.update(endpoint.worker.executions)
             self._check_received_requests(endpoint)
         for request in self._history.requests.values():
             self._check_response(request)
@@ -185,7 +185,7 @@
                 *self._system.endpoints,
                 *self._system.removed_endpoints,
             ]
-            if request.attempt_id in e.worker.runs
+            if request.attempt_id in e.worker.executions
         ]
         fault_free = all(
             self._history.is_fault_free(
