--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -32,7 +32,7 @@
 MIN_REPORTED_SLOWDOWN = 1.2
 """Slowdown from which a rank is published as slow; less may be noise."""
 
-DISCOVERY_INTERVAL = datetime.timedelta(milliseconds=500)
+RANK_DISCOVERY_INTERVAL = datetime.timedelta(milliseconds=500)
 """Delay between two searches for the ranks of a group."""
 
 OUTAGE_DISCOVERY_INTERVAL = datetime.timedelta(seconds=1)
@@ -154,7 +154,7 @@
         if self._outage.is_ongoing:
             await self._outage.wait_for_recovery(OUTAGE_DISCOVERY_INTERVAL)
             return
-        delay = DISCOVERY_INTERVAL
+        delay = RANK_DISCOVERY_INTERVAL
         if self._outage.recent_recovery_age(self._clock.now()) is not None:
             delay = RECOVERY_DISCOVERY_INTERVAL
         await asyncio.sleep(delay.total_seconds())
@@ -198,7 +198,10 @@
     async def _read_current_map(
         self, found: dict[int, directory.Endpoint], version: int
     ) -> rank_protocol.Map | None:
-        """Return the map in use, None unless all ranks report it."""
+        """Return the map in use, None unless all ranks report it.
+
+        Version 0 is not read, but computed.
+        """
         if version == 0:
             return map_planner.initial_map(len(found), self._shape)
         rank_maps = await asyncio.gather(
--- a/src/aspenfold/_internal/gateway/leadership.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -42,8 +42,9 @@
 
 DRAIN_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
 
-DISCOVERY_INTERVAL = datetime.timedelta(seconds=5)
-"""How often a leader searches for groups that it does not lead yet."""
+GROUP_DISCOVERY_INTERVAL = datetime.timedelta(seconds=5)
+"""How often a leader searches for the groups of services of which it leads
+none yet."""
 
 
 class GroupLeadership:
@@ -284,7 +285,7 @@
             return
         now = self._core.clock.now()
         last = self._discovered_at
-        if last is not None and now - last < DISCOVERY_INTERVAL:
+        if last is not None and now - last < GROUP_DISCOVERY_INTERVAL:
             return
         self._discovered_at = now
         for service, shape in self._group_shapes().items():
@@ -292,7 +293,7 @@
                 self._start_leader(service, group, shape)
 
     async def _find_groups(self, service: str) -> set[str]:
-        """Return the names of a service's groups if it has no leader yet."""
+        """Return the names of a service's groups, none if one is led."""
         led_groups = {
             group for name, group in self._leaders if name == service
         }
--- a/src/aspenfold/_internal/gateway/peer_discovery.py
+++ b/src/aspenfold/_internal/gateway/peer_discovery.py
@@ -40,9 +40,8 @@
         is_passive: abc.Callable[[], bool],
         publish: abc.Callable[[relay.RelayedRecords], None],
     ) -> None:
-        """Initialize the discovery.
+        """Read no further records while ``is_passive()`` holds.
 
-        ``is_passive`` returns whether a reader relays the records,
         ``publish`` relays records to followers.
         """
         self._is_passive = is_passive
@@ -67,23 +66,23 @@
 
     async def _poll(self) -> None:
         if self._next_offset is None:
-            self._read(await self._store.newest(TOPIC))
+            self._apply_and_publish(await self._store.newest(TOPIC))
         if self._addresses.get(self._host) != self._address:
             value = str(self._address).encode()
             await self._store.put(TOPIC, self._host, value)
             self._addresses[self._host] = self._address
             # Other gateways of a new system write at the same time.
             await asyncio.sleep(MIN_READ_INTERVAL_S)
-            self._read(await self._store.newest(TOPIC))
+            self._apply_and_publish(await self._store.newest(TOPIC))
         await asyncio.sleep(MIN_READ_INTERVAL_S)
         if self._is_passive():
             return
         assert self._next_offset is not None
-        self._read(
+        self._apply_and_publish(
             await self._store.read(TOPIC, self._next_offset, READ_TIMEOUT)
         )
 
-    def _read(self, page: ports.Page) -> None:
+    def _apply_and_publish(self, page: ports.Page) -> None:
         self._apply_page(page)
         if page.records:
             self._publish(self._relayed_records(page.records))
