--- a/src/aspenfold/_internal/admission/lanes.py
+++ b/src/aspenfold/_internal/admission/lanes.py
@@ -78,6 +78,6 @@
     return exceptions.Failure(
         code=exceptions.Code.OVERLOADED,
         detail=detail,
-        remedy='retry after Retry-After, or allow a longer deadline',
+        remedy='retry after the Retry-After delay, or allow a longer deadline',
         retry_after=min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait)),
     )
--- a/src/aspenfold/_internal/admission/limiter.py
+++ b/src/aspenfold/_internal/admission/limiter.py
@@ -1,7 +1,8 @@
 """Limits of organisations, enforced by all entries without a coordinator.
 
 Each entry enforces its share of every organisation's limit.  The shares add
-up to at most one, so the total stays within the limit.
+up to at most one, so the total stays within the limit, except that an entry
+always allows one request in flight and a burst of one.
 """
 
 import dataclasses
--- a/src/aspenfold/_internal/admission/policy.py
+++ b/src/aspenfold/_internal/admission/policy.py
@@ -18,7 +18,8 @@
     ``mean`` is the mean pressure of its endpoints; at 1.0 all slots are in
     use.  ``capacity`` is the number of their slots, and
     ``interactive_fraction`` the fraction of them that interactive calls
-    have used recently.  ``service_time`` is a moving average.
+    have used recently.  ``service_time`` is the
+    moving average of the time that a call takes.
     """
 
     mean: float
--- a/src/aspenfold/_internal/expertmaps/demand_estimator.py
+++ b/src/aspenfold/_internal/expertmaps/demand_estimator.py
@@ -53,7 +53,8 @@
     def add_counts(self, rank: int, counts: rank_protocol.Counts) -> None:
         """Add what a rank has counted since its last sample.
 
-        The first sample of an epoch only sets the base for the next one.
+        A rank's first sample may provide a first estimate.  The first
+        sample of a later epoch only sets the base for the next one.
         """
         if len(counts.counts) != len(self._weights):
             return
--- a/src/aspenfold/_internal/expertmaps/leader_machine.py
+++ b/src/aspenfold/_internal/expertmaps/leader_machine.py
@@ -61,7 +61,11 @@
     def set_plan(
         self, version: int, placement: Placement
     ) -> list[messages.Action]:
-        """Take a map plan; one with an old version is ignored."""
+        """Set the map plan to prepare next.
+
+        A plan that is not newer, or is for another number of ranks, is
+        ignored.
+        """
         if version <= self._newest_version or len(placement) != self.ranks:
             return []
         self._newest_version = version
--- a/src/aspenfold/_internal/gateway/admission.py
+++ b/src/aspenfold/_internal/gateway/admission.py
@@ -32,15 +32,15 @@
 
 
 def is_retry(route: plan.Route, remaining: datetime.timedelta) -> bool:
-    """Return whether a request was refused before.
+    """Return whether a request was probably refused before.
 
-    ``remaining`` is the time to its deadline.
+    ``remaining`` is the time to its deadline when it was read.
     """
     return remaining < RETRY_TIME_FRACTION * route.timeout
 
 
 def is_full(endpoints: abc.Iterable[directory.Endpoint]) -> bool:
-    """Return whether no endpoint has a free slot."""
+    """Return whether all endpoints are at FULL_PRESSURE or above."""
     return all(e.pressure >= FULL_PRESSURE for e in endpoints)
 
 
--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -73,7 +73,7 @@
         return self.plan_index.plan.version if self.plan_index else 0
 
     def adopt_plan(self, plan: plan_module.Plan) -> None:
-        """Make a plan the current one unless its version is not newer."""
+        """Make a plan the current one if its version is newer."""
         plan_index = self.plan_index
         if plan_index is not None and plan.version <= plan_index.plan.version:
             return
@@ -129,7 +129,10 @@
         return admission.should_refuse(route, remaining, candidates, since)
 
     def current_outage(self, service: str) -> outage.Outage | None:
-        """Return the outage to wait for, None if a group is available."""
+        """Return the outage to wait for, None if there is none.
+
+        There is none if a group is available or the service has no ranks.
+        """
         if not self.has_group(service):
             return None
         candidates = self.directory.routable(service, self.clock.now())
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -228,7 +228,7 @@
             assert buffered is not None
             status = buffered.status
             if status in NOT_RUN_STATUSES:
-                # The endpoint did not state that it had not run.
+                # The endpoint did not state that the request has not run.
                 self._send_unknown_outcome(outcome.AttemptResult.FAILED)
                 return
             self._forward_buffered(buffered)
--- a/src/aspenfold/_internal/gateway/outage.py
+++ b/src/aspenfold/_internal/gateway/outage.py
@@ -30,7 +30,7 @@
 """Time from the first refusal to the group's next pass."""
 
 EXPECTED_OUTAGE_MARGIN = datetime.timedelta(milliseconds=300)
-"""Time that an outage may exceed EXPECTED_OUTAGE_DURATION."""
+"""Time by which an outage may exceed EXPECTED_OUTAGE_DURATION."""
 
 RETRY_DELAY_DIVISOR = 3
 """Callers retry after at most their remaining time divided by this."""
--- a/src/aspenfold/_internal/gateway/outcome.py
+++ b/src/aspenfold/_internal/gateway/outcome.py
@@ -25,10 +25,10 @@
     """Another incarnation uses the address; the request did not run."""
 
     FAILED = 'failed'
-    """The endpoint ran the request and responded with a failure."""
+    """The endpoint may have run the request and responded with a failure."""
 
     LOST = 'lost'
-    """No complete response arrived; the request may have run."""
+    """No usable response arrived; the request may have run."""
 
     ANSWERED = 'answered'
     """A complete response arrived."""
@@ -37,7 +37,7 @@
     """The response has an event that is too large to buffer."""
 
     TIMED_OUT = 'timed-out'
-    """The deadline passed first; the request may have run."""
+    """The deadline passed before a complete response arrived."""
 
 
 NOT_RUN = frozenset(
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -43,12 +43,12 @@
 that no slot is filled twice."""
 
 INTERVAL_PER_PEER = datetime.timedelta(milliseconds=4)
-"""Added for each peer of the same zone, to bound the datagrams sent there to
-250 a second."""
+"""Added for each peer that gets the update, to bound the datagrams to 250 a
+second."""
 
 INTERVAL_PER_REMOTE_PEER = datetime.timedelta(milliseconds=50)
-"""Added for each peer of another zone, to bound the datagrams sent there to
-20 a second: traffic between zones costs money."""
+"""Added for each peer of another zone if only requests in flight changed, to
+bound these datagrams to 20 a second: traffic between zones costs money."""
 
 MAX_DATAGRAM_BYTES = 1400
 """Below the packet size of common networks; larger updates are not sent."""
--- a/src/aspenfold/_internal/gateway/plan_feed.py
+++ b/src/aspenfold/_internal/gateway/plan_feed.py
@@ -19,7 +19,7 @@
 0.7 s after its end."""
 
 HINT_GRACE_PERIOD_S = 0.25
-"""How long a waiting read may go on once a peer is known to have a newer
+"""How long a waiting read may continue once a peer is known to have a newer
 plan: usually its answer is already on the way."""
 
 REREAD_INTERVAL = datetime.timedelta(milliseconds=500)
@@ -30,7 +30,7 @@
     """Receives the plans that the feed reads."""
 
     def adopt_plan(self, plan: plan_module.Plan) -> None:
-        """Apply a plan unless a newer one is in force."""
+        """Make a plan the current one if its version is newer."""
 
 
 class PlanFeed:
--- a/src/aspenfold/_internal/gateway/rank_client.py
+++ b/src/aspenfold/_internal/gateway/rank_client.py
@@ -171,7 +171,7 @@
     def _addresses(
         self, endpoint: directory.Endpoint
     ) -> list[settings.TcpAddress]:
-        """Return where to call a rank, the first address first."""
+        """Return the addresses at which to call a rank, preferred first."""
         listing = endpoint.listing
         direct = settings.TcpAddress(host=listing.host, port=listing.port)
         if not self._uses_agent(listing.host):
--- a/src/aspenfold/_internal/gateway/reader_selection.py
+++ b/src/aspenfold/_internal/gateway/reader_selection.py
@@ -137,7 +137,7 @@
 
     @property
     def store_lost(self) -> bool:
-        """Whether this gateway's last store calls failed."""
+        """Whether the last MAX_CONSECUTIVE_FAILURES store calls failed."""
         return self._failures >= MAX_CONSECUTIVE_FAILURES
 
     def reader_to_follow(self, now: datetime.datetime) -> str:
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT_S = 0.3
 
 POLL_INTERVAL_S = 0.1
-"""How often both sides check whether the relay should go on."""
+"""How often both sides check whether the relay should continue."""
 
 MAX_LINE_BYTES = 8_388_608
 """Twice the maximum size of a plan, 4 MiB."""
--- a/src/aspenfold/_internal/gateway/store_feeds.py
+++ b/src/aspenfold/_internal/gateway/store_feeds.py
@@ -21,7 +21,7 @@
     directory: directory_module.Directory
 
     def adopt_plan(self, plan: plan_module.Plan) -> None:
-        """Apply a plan unless a newer one is in force."""
+        """Make a plan the current one if its version is newer."""
 
 
 class StoreFeeds:
--- a/src/aspenfold/_internal/leases/lease_client.py
+++ b/src/aspenfold/_internal/leases/lease_client.py
@@ -41,8 +41,8 @@
     ) -> records.LeaseGrant | None:
         """Return the record that requests the lease ``name``.
 
-        Return None while the lease is held, or while an earlier request
-        is younger than ``ttl``.
+        Return None until the lease is free or expired, or while an earlier
+        request is younger than ``ttl``.
         """
         lease = state.leases.get(name)
         if lease is not None and not self._has_expired(name, lease, now):
--- a/src/aspenfold/_internal/leases/leased_tasks.py
+++ b/src/aspenfold/_internal/leases/leased_tasks.py
@@ -73,7 +73,8 @@
         """Return the records to append now.
 
         ``loads`` maps each group to its load per expert, as reported by
-        its engines.  A group without loads keeps its map.
+        its engines.  A group without loads keeps a map that fits its
+        size.
         """
         fleet = state.fleet
         if fleet is None:
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -52,7 +52,7 @@
 def feed(
     state: state_module.FleetState, *given: records.Record
 ) -> list[reducer.Verdict]:
-    """Fold records in order and return the verdicts."""
+    """Apply records in order and return the verdicts."""
     return [
         reducer.apply_record(
             state, state.next_offset, record.model_dump(mode='json')
