--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -256,7 +256,7 @@
         return self._claim_tables[stream].position
 
     def on_log_lost(self) -> None:
-        """Record that the log service does not answer."""
+        """Record that the log service is unavailable."""
         self._log_up = False
 
     def on_host_list(self, listing: hosts.HostList) -> None:
--- a/src/aspenfold/_internal/commands/fleet_client.py
+++ b/src/aspenfold/_internal/commands/fleet_client.py
@@ -56,7 +56,7 @@
     """Reads and changes the fleet with an operator's settings.
 
     Unless said otherwise, methods raise LogUnavailable or another
-    AspenfoldError if a service does not answer.
+    AspenfoldError if a service is unavailable.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         raise exceptions.ConfigError(
             exceptions.Failure(
                 code=exceptions.Code.APPEND_UNKNOWN,
-                detail='the log service does not answer; it is unknown '
+                detail='the log service is unavailable; it is unknown '
                 'whether the change was accepted',
                 remedy='run "aspenfold history" when the log is available '
                 'again, before you apply again',
--- a/src/aspenfold/_internal/commands/inspect.py
+++ b/src/aspenfold/_internal/commands/inspect.py
@@ -36,7 +36,7 @@
         self._client = client
 
     def run(self, *, as_json: bool) -> exit_status.ExitStatus:
-        """Print the status; ``UNREACHABLE`` if an entry does not answer."""
+        """Print the status; ``UNREACHABLE`` if an entry gives none."""
         reports = {
             host.name: self._client.fetch_status(host)
             for host in self._client.list_entries()
@@ -81,7 +81,7 @@
             'entry': name,
             'zone': None,
             'version': None,
-            'state': 'does not answer',
+            'state': 'does not respond',
             'in flight': None,
         }
     state = 'in force' if report['log_up'] else 'stale: cannot reach the log'
@@ -150,7 +150,7 @@
             },
         )
         if explanation is None:
-            print(f'{candidates[0].name} does not answer')
+            print(f'{candidates[0].name} does not respond')
             return exit_status.ExitStatus.UNREACHABLE
         if as_json:
             output.print_json(explanation)
--- a/src/aspenfold/_internal/configuration/reducer.py
+++ b/src/aspenfold/_internal/configuration/reducer.py
@@ -110,8 +110,8 @@
     if record.lease_token != lease_token or not lease_token:
         return Verdict.STALE_TOKEN
     current = state.maps.get(record.group)
-    # A planner whose append got no answer appends the record again, so
-    # it may be on the log twice.
+    # A planner whose append got no response appends the record again,
+    # so it may be on the log twice.
     if current is not None and current.record_id == record.id:
         return Verdict.NO_CHANGE
     state.maps[record.group] = state_module.MapVersion(
--- a/src/aspenfold/_internal/exceptions.py
+++ b/src/aspenfold/_internal/exceptions.py
@@ -119,8 +119,8 @@
     Code.NOT_FOUND: 'no object of this name exists',
     Code.SETTINGS_INVALID: 'a settings file is missing or invalid',
     Code.PORT_UNAVAILABLE: 'the program cannot listen on the port',
-    Code.LOG_DOWN: 'the log service does not answer',
-    Code.HOST_LIST_DOWN: 'the host list does not answer',
+    Code.LOG_DOWN: 'the log service or the store is unavailable',
+    Code.HOST_LIST_DOWN: 'the host list is unavailable',
     Code.INTERNAL: 'internal error; please report it',
 }
 """Description of each code, for ``docs/ERRORS.md``."""
@@ -221,7 +221,7 @@
 
 
 class LogUnavailable(AspenfoldError):
-    """The log service did not answer; an append may have taken effect."""
+    """A request to the log failed; an append may have taken effect."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
--- a/src/aspenfold/_internal/models/records.py
+++ b/src/aspenfold/_internal/models/records.py
@@ -1,6 +1,6 @@
 """Models of the records on the log.
 
-Each record has a unique ``id``.  A writer whose append got no answer
+Each record has a unique ``id``.  A writer whose append got no response
 finds its record by this id when it reads the log.
 """
 
--- a/src/aspenfold/_internal/network/host_list_client.py
+++ b/src/aspenfold/_internal/network/host_list_client.py
@@ -14,7 +14,7 @@
     def read(self) -> hosts.HostList:
         """Return the current host list.
 
-        Raises AspenfoldError if the service does not respond.
+        Raises AspenfoldError if the request fails.
         """
         try:
             data = http.call_json(self._pool, 'GET', '/hosts')
@@ -22,7 +22,7 @@
             raise exceptions.AspenfoldError(
                 exceptions.Failure(
                     code=exceptions.Code.HOST_LIST_DOWN,
-                    detail=f'the host list service did not respond: {exc}',
+                    detail=f'the host list is unavailable: {exc}',
                     remedy='check the host list and try again',
                 )
             ) from exc
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -288,7 +288,7 @@
         self._parse()
 
     def _reject(self, status: int) -> None:
-        """Answer an invalid request with ``status``, and close."""
+        """Respond to an invalid request with ``status``, and close."""
         self._stop_timer()
         if not self.started:
             self._send_short_response(status)
--- a/src/aspenfold/_internal/network/log_client.py
+++ b/src/aspenfold/_internal/network/log_client.py
@@ -76,5 +76,5 @@
             )
         except http.ServiceError as exc:
             raise exceptions.LogUnavailable(
-                f'the log service did not respond: {exc}'
+                f'the log service is unavailable: {exc}'
             ) from exc
--- a/src/aspenfold/_internal/processes/rank_agent.py
+++ b/src/aspenfold/_internal/processes/rank_agent.py
@@ -1,6 +1,6 @@
 """The rank agent: forwards a leader's requests to the engine on its host.
 
-If the engine does not answer, the leader's connection is closed without a
+If the engine does not respond, the leader's connection is closed without a
 response.
 """
 
@@ -32,8 +32,8 @@
 class RankAgent:
     """Forwards requests for one engine.
 
-    ``forwarded`` counts requests that the engine answered, and
-    ``engine_failures`` those that it did not.
+    ``forwarded`` counts requests with a response of the engine, and
+    ``engine_failures`` those without.
     """
 
     def __init__(
--- a/src/aspenfold/cli/operator.py
+++ b/src/aspenfold/cli/operator.py
@@ -28,7 +28,7 @@
     --settings or the environment variable ASPENFOLD_SETTINGS.
 
     Exit statuses: 0 success, 1 failure, 2 invalid input, 3 conflict,
-    4 not yet in force everywhere, 5 a service or entry does not answer.
+    4 not yet in force everywhere, 5 a service or entry is unavailable.
     """
 
     def __init__(self, settings: str = '') -> None:
--- a/src/aspenfold/cli/plan.py
+++ b/src/aspenfold/cli/plan.py
@@ -25,7 +25,7 @@
     settings file, named by the environment variable ASPENFOLD_SETTINGS.
 
     Exit statuses: 0 success, 1 no matching route, 2 invalid input, 5 the
-    store does not answer.
+    store is unavailable.
     """
 
     def __init__(self, store: str = '') -> None:
@@ -78,7 +78,7 @@
     ) -> Result:
         """Return what ``query`` reads from the store.
 
-        Raises ConfigError if the store does not answer.
+        Raises ConfigError if the store is unavailable.
         """
 
         async def run_query() -> Result:
@@ -90,7 +90,7 @@
             raise exceptions.ConfigError(
                 exceptions.Failure(
                     code=exceptions.Code.LOG_DOWN,
-                    detail=f'the store does not answer: {exc}',
+                    detail=f'the store is unavailable: {exc}',
                     field='store',
                     remedy='check its address, or try again later',
                 )
