--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -103,7 +103,10 @@
         request: frames.AttemptRequest,
         now: datetime.datetime,
     ) -> list[actions.Action]:
-        """Run the attempt, or attach the stream to it if it is known."""
+        """Run or join an attempt; its frames are sent on the stream.
+
+        A known attempt is not run again: the stream is attached to it.
+        """
         now = self._advance_clock(now)
         if request.incarnation != self.incarnation:
             return self._refuse(
--- a/src/aspenfold/_internal/attempts/reserved_slots.py
+++ b/src/aspenfold/_internal/attempts/reserved_slots.py
@@ -4,7 +4,7 @@
 import math
 
 RESERVATION_TIMEOUT = datetime.timedelta(seconds=10)
-"""Time without interactive calls after which no slot is reserved."""
+"""How long slots are reserved after an interactive call started."""
 
 MOVING_AVERAGE_WEIGHT = 0.02
 """Weight of the newest sample in the mean of running interactive calls."""
@@ -17,10 +17,10 @@
 
 
 class InteractiveReservation:
-    """Reserves slots by the number of interactive calls that run.
+    """Reserves slots by the mean number of running interactive calls.
 
-    Only the agent can do this: an entry sees the endpoint's load late,
-    and of the calls only its own.
+    Only the agent can do this: an entry learns the endpoint's load late
+    and sees only its own calls.
     """
 
     def __init__(self, *, capacity: int) -> None:
--- a/src/aspenfold/_internal/calls/actions.py
+++ b/src/aspenfold/_internal/calls/actions.py
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CancelAttempt:
-    """Tell the agent that no caller waits for the attempt any more."""
+    """Ask the agent to cancel an attempt whose answer is not needed."""
 
     host: hosts.Host
     attempt_id: str
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -234,7 +234,10 @@
     def _join_holder(
         self, holder: claim_table.Holder, now: datetime.datetime
     ) -> list[actions.Action]:
-        """Join the attempt that holds the key, or learn its outcome."""
+        """Join the attempt that holds the key.
+
+        Fails the call if its content differs from that of the claim.
+        """
         claim = holder.claim
         if claim.digest != self.call.content_digest.hex():
             return self._fail(
@@ -319,7 +322,10 @@
         *,
         join_timeout: datetime.timedelta = datetime.timedelta(0),
     ) -> list[actions.Action]:
-        """Open an answer stream to the current attempt's agent."""
+        """Open an answer stream to the current attempt's agent.
+
+        Fails the attempt if the agent was restarted or removed.
+        """
         attempt = self._attempt
         assert attempt is not None
         endpoint = self._context.endpoint(attempt.endpoint)
@@ -331,8 +337,8 @@
             return self._on_failed(
                 _failure(
                     Code.INCARNATION_GONE,
-                    f'the agent of endpoint {attempt.endpoint} was '
-                    'restarted after it got the request',
+                    f'endpoint {attempt.endpoint} was removed, or its agent '
+                    'restarted, after it was chosen',
                 ),
                 now,
             )
@@ -558,7 +564,7 @@
     def _claims_incomplete(self) -> exceptions.Failure:
         return _failure(
             Code.KEY_NOT_JUDGEABLE,
-            'claims of keys were trimmed from the log before they expired',
+            'claims of keys may have been trimmed before they were read',
             retry_after=datetime.timedelta(seconds=30),
         )
 
--- a/src/aspenfold/_internal/claims/table.py
+++ b/src/aspenfold/_internal/claims/table.py
@@ -1,6 +1,7 @@
 """The holders of idempotency keys, built from a claim stream.
 
-The first valid claim of a key holds it.  A key is scoped by its
+The first claim of a free key holds it, until a claim that supersedes the
+holder is appended or the holder expires.  A key is scoped by its
 organisation and hashed to one claim stream, so that all its claims have
 one order.  A table needs every claim of the last ``window``: after it
 misses trimmed records, it cannot decide keys until a window has passed.
@@ -40,7 +41,7 @@
 
 
 MAX_REQUEST_DELAY = datetime.timedelta(seconds=5)
-"""Time that a request may take from its caller to the kernel.
+"""Time that a request may take from its caller to the entry.
 
 A request that took longer may be mistaken for a later submission of its
 key.
--- a/src/aspenfold/_internal/claims/ticket.py
+++ b/src/aspenfold/_internal/claims/ticket.py
@@ -1,8 +1,8 @@
 """Tickets: idempotency keys that are bound to one incarnation of an agent.
 
 The agent alone decides about a ticket, from memory, so a ticketed
-request runs at most once without the log and in a network partition.
-If the agent restarts, the outcome of the request stays unknown.
+request runs at most once even if the log is unavailable or the network
+is partitioned.  If the agent restarts, the outcome stays unknown.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
-    """A ticket.
+    """The fields of a ticket.
 
     ``nonce`` is unique and gives the attempt its id; ``expires`` is UTC.
     """
--- a/src/aspenfold/_internal/commands/apply.py
+++ b/src/aspenfold/_internal/commands/apply.py
@@ -148,7 +148,7 @@
         return exit_status.ExitStatus.OK
 
     def _entry_rows(self, version: int) -> list[dict[str, typing.Any]]:
-        """Return a row for each entry: does it use ``version`` yet?"""
+        """Return a row for each entry: whether it uses ``version``."""
         rows: list[dict[str, typing.Any]] = []
         for host in self._client.list_entries():
             status = self._client.fetch_status(host)
--- a/src/aspenfold/_internal/delivery/assembler.py
+++ b/src/aspenfold/_internal/delivery/assembler.py
@@ -17,9 +17,9 @@
 
 
 class AnswerAssembler:
-    """Puts items that arrive out of order or repeated in order, once each.
+    """Puts items in order and drops duplicates.
 
-    Frames of other than the current attempt are ignored.  A new attempt
+    Frames of attempts other than the current one are ignored.  A new attempt
     continues at :attr:`next_item`, without a gap or repeated items.
     """
 
--- a/src/aspenfold/_internal/exceptions.py
+++ b/src/aspenfold/_internal/exceptions.py
@@ -81,7 +81,7 @@
     Code.KEY_REQUIRED: 'a call that must not be repeated needs an '
     'idempotency key',
     Code.KEY_REUSED: 'the key was already used with different content',
-    Code.BAD_TICKET: 'the ticket is forged or belongs to another organisation',
+    Code.BAD_TICKET: 'the ticket is invalid or of another organisation',
     Code.NO_RULE: 'no rule allows the organisation to make this call',
     Code.RATE_LIMITED: 'the organisation exceeds its request rate',
     Code.TOO_MANY_IN_FLIGHT: 'the organisation has too many calls in flight',
@@ -101,11 +101,12 @@
     'ruled out',
     Code.NO_FLEET: 'the entry or gateway has no configuration yet',
     Code.FATE_UNKNOWN: 'it is unknown whether an attempt was executed',
-    Code.INCARNATION_GONE: 'the agent that held the call was restarted',
+    Code.INCARNATION_GONE: 'the agent chosen for the call was restarted or '
+    'removed',
     Code.ENDPOINT_LOST: 'the connection to the endpoint was lost before the '
     'end of the answer',
-    Code.KEY_UNDECIDED: 'refused before the claims of the key were read; an '
-    'earlier request with it may have been executed',
+    Code.KEY_UNDECIDED: 'refused while the key was undecided; an earlier '
+    'request with it may have been executed',
     Code.ANSWER_EXPIRED: 'executed; the answer is no longer stored',
     Code.ANSWER_BROKEN: 'executed; the answer does not match its digest',
     Code.ANSWER_CUT: 'executed; the answer is truncated',
--- a/src/aspenfold/_internal/network/agent_client.py
+++ b/src/aspenfold/_internal/network/agent_client.py
@@ -68,7 +68,7 @@
     async def report(
         self, address: str, port: int, request: pb.ReportRequest
     ) -> pb.ReportReply:
-        """Exchange reports with an agent.  Raises one of CALL_ERRORS."""
+        """Return an agent's report.  Raises one of CALL_ERRORS."""
         stub = self._stub(address, port)
         return await stub.Report(
             request, timeout=UNARY_TIMEOUT_S, metadata=self._metadata
--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -37,7 +37,7 @@
         """Handle the end of an answer stream, complete or not."""
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel an attempt that no caller waits for."""
+        """Cancel an attempt whose answer is not needed."""
 
     def on_group_message(self, message: messages.Message) -> None:
         """Handle a message of the expert map protocol."""
@@ -73,7 +73,7 @@
             self._handler.on_stream_closed(stream_id)
 
     async def Cancel(self, stream: ExecuteStream) -> None:
-        """Cancel an attempt that no caller waits for."""
+        """Cancel an attempt whose answer is not needed."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -81,7 +81,7 @@
         await stream.send_message(pb.CancelReply())
 
     async def Report(self, stream: ExecuteStream) -> None:
-        """Exchange reports with an entry."""
+        """Handle an entry's report request."""
         message = await stream.recv_message()
         if message is None:
             return
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -25,7 +25,7 @@
 SLOW_READER_TIMEOUT = datetime.timedelta(seconds=10)
 """A caller that does not read for longer counts as disconnected.
 
-Longer than every request timeout.
+Longer than callers wait for a response.
 """
 
 MAX_PIPELINED_BYTES = 65_536
--- a/src/aspenfold/_internal/observability/events.py
+++ b/src/aspenfold/_internal/observability/events.py
@@ -72,7 +72,7 @@
     Event.DRAINING: 'a program was asked to stop and finishes its work',
     Event.STOPPED: 'a program has stopped',
     Event.DRAIN_LIMIT: 'a drain reached its time limit with work in flight',
-    Event.UNEXPECTED: 'a background task failed; please report it',
+    Event.UNEXPECTED: 'an unexpected error occurred; please report it',
     Event.RELOADED: 'a program was asked to reload its settings',
     Event.CALL_FINISHED: 'a caller got a complete answer',
     Event.CALL_FAILED: 'a call ended with an error',
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -108,7 +108,7 @@
         self._apply(self.kernel.on_stream_closed(stream_id))
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel an attempt that no caller waits for."""
+        """Cancel an attempt whose answer is not needed."""
         self._apply(self.kernel.cancel(attempt_id))
 
     def on_group_message(self, message: messages.Message) -> None:
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -152,7 +152,7 @@
             self._spawn(self._clients.send_group_message(*address, message))
 
     async def _send_order(self, action: EngineOrder) -> None:
-        """Send an order to the engine and pass its answer to the machine."""
+        """Send an order to the engine and pass its response on."""
         machine = self._rank_machine
         assert machine is not None
         answer = await self._endpoint.send_order(_order_body(action))
--- a/src/aspenfold/_internal/processes/log_tail.py
+++ b/src/aspenfold/_internal/processes/log_tail.py
@@ -145,8 +145,8 @@
                     self._executor, self._client.append, stream, batch
                 )
             except exceptions.LogUnavailable:
-                # The append may have taken effect.  A second copy is
-                # harmless: its claims name holders that were replaced since.
+                # The append may have taken effect.  A second copy has no
+                # effect: the first one replaced what its claims supersede.
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             return
--- a/src/aspenfold/_internal/processes/peer_service.py
+++ b/src/aspenfold/_internal/processes/peer_service.py
@@ -16,7 +16,7 @@
 
 
 class PeerService(rpc.PeerBase):
-    """Gives the fleet state to peers that cannot read the log."""
+    """Sends the fleet state to peers that lack it or cannot read the log."""
 
     def __init__(self, *, entry: FleetProvider) -> None:
         self._entry = entry
--- a/src/aspenfold/_internal/processes/platform_feed.py
+++ b/src/aspenfold/_internal/processes/platform_feed.py
@@ -1,8 +1,8 @@
 """Connects an entry's kernel to the log, the host list and the peers.
 
 The log and the host list are read into the kernel, and the records of the
-leased tasks are appended to the log.  While the log is unavailable, the fleet
-state is requested from peers.
+leased tasks are appended to the log.  While the log is unavailable, or there
+is no configuration yet, the fleet state is requested from peers.
 """
 
 import asyncio
@@ -86,7 +86,7 @@
         self.host_list = hosts.HostList(version=0, hosts=[])
 
     def start(self) -> None:
-        """Start the tasks that read, append and ask peers."""
+        """Start the tasks that read, append and poll peers."""
         spawn = self._entry.tasks.spawn
         spawn(
             self._log_tail.follow(
