--- a/src/aspenfold/_internal/gateway/admission.py
+++ b/src/aspenfold/_internal/gateway/admission.py
@@ -46,15 +46,15 @@
 
 def has_backlog(
     endpoints: abc.Sequence[directory.Endpoint],
-    since_outage: datetime.timedelta | None,
+    time_since_recovery: datetime.timedelta | None,
 ) -> bool:
     """Return whether a group still works off the backlog of an outage.
 
-    ``since_outage`` is the time since the recovery, None if there was no
-    outage.  A first request that is refused can be served when it is
-    retried; sent now, it would also delay requests that cannot be.
+    ``time_since_recovery`` is None if there was no outage.  A first
+    request that is refused can be served when it is retried; sent now, it
+    would also delay requests that cannot be.
     """
-    if since_outage is None or since_outage > BACKLOG_DURATION:
+    if time_since_recovery is None or time_since_recovery > BACKLOG_DURATION:
         return False
     total_pressure = sum(e.pressure for e in endpoints)
     return total_pressure >= BACKLOG_PRESSURE * len(endpoints)
@@ -64,16 +64,16 @@
     route: plan.Route,
     remaining: datetime.timedelta,
     endpoints: abc.Sequence[directory.Endpoint],
-    since_outage: datetime.timedelta | None = None,
+    time_since_recovery: datetime.timedelta | None = None,
 ) -> bool:
     """Return whether a request should be refused and retried later.
 
     Only first requests of streams are refused.  ``remaining`` is the time
     to the request's deadline, ``endpoints`` are the ranks that it could be
-    sent to, and ``since_outage`` is as in :func:`has_backlog`.
+    sent to, and ``time_since_recovery`` is as in :func:`has_backlog`.
     """
     if route.kind is not plan.Kind.STREAMING or not endpoints:
         return False
     if is_retry(route, remaining):
         return False
-    return is_full(endpoints) or has_backlog(endpoints, since_outage)
+    return is_full(endpoints) or has_backlog(endpoints, time_since_recovery)
--- a/src/aspenfold/_internal/gateway/core.py
+++ b/src/aspenfold/_internal/gateway/core.py
@@ -125,8 +125,10 @@
         candidates = self._in_available_groups(
             self.directory.routable(service, now)
         )
-        since = self.outages.time_since_recovery(candidates)
-        return admission.should_refuse(route, remaining, candidates, since)
+        time_since_recovery = self.outages.time_since_recovery(candidates)
+        return admission.should_refuse(
+            route, remaining, candidates, time_since_recovery
+        )
 
     def current_outage(self, service: str) -> outage.Outage | None:
         """Return the outage to wait for, None if there is none.
--- a/src/aspenfold/_internal/gateway/exchange.py
+++ b/src/aspenfold/_internal/gateway/exchange.py
@@ -184,7 +184,7 @@
         if current_outage is None:
             return False
         delay = current_outage.wait_limit(
-            history.route, age=call.age, time_left=call.remaining, now=now
+            history.route, age=call.age, remaining=call.remaining, now=now
         )
         if not delay:
             return False
@@ -192,7 +192,7 @@
             events.Event.GROUP_AWAITED,
             call=call.id,
             wait_ms=delay // clock_module.MILLISECOND,
-            expected_ms=current_outage.remaining(now)
+            expected_ms=current_outage.time_to_recovery(now)
             // clock_module.MILLISECOND,
             left_ms=call.remaining_ms,
         )
--- a/src/aspenfold/_internal/gateway/outage.py
+++ b/src/aspenfold/_internal/gateway/outage.py
@@ -63,34 +63,34 @@
 
 
 def retry_wait(
-    remaining: datetime.timedelta, limit: datetime.timedelta
+    time_to_recovery: datetime.timedelta, limit: datetime.timedelta
 ) -> datetime.timedelta:
     """Return how long a retry waits; its caller does not retry again.
 
-    ``remaining`` is the expected time to the recovery, ``limit`` the
-    longest wait that is useful.
+    ``time_to_recovery`` is an estimate, ``limit`` the longest wait that is
+    useful.
     """
-    if remaining > limit + EXPECTED_OUTAGE_MARGIN:
+    if time_to_recovery > limit + EXPECTED_OUTAGE_MARGIN:
         return NO_WAIT
     return limit
 
 
 def first_request_wait(
-    remaining: datetime.timedelta,
+    time_to_recovery: datetime.timedelta,
     limit: datetime.timedelta,
-    time_left: datetime.timedelta,
+    remaining: datetime.timedelta,
     retry_limit: datetime.timedelta,
 ) -> datetime.timedelta:
     """Return how long a first request waits; its caller retries once.
 
-    ``remaining`` is the expected time to the recovery, ``limit`` the
-    longest wait that is useful, ``time_left`` the time to the deadline
-    and ``retry_limit`` the longest wait of the retry.  The request
-    waits only as long as needed for its retry to meet the recovery, and
-    not at all if no wait achieves that.
+    ``time_to_recovery`` is an estimate, ``limit`` the longest wait that is
+    useful, ``remaining`` the time to the deadline and ``retry_limit`` the
+    longest wait of the retry.  The request waits only as long as needed
+    for its retry to meet the recovery, and not at all if no wait achieves
+    that.
     """
-    needed = remaining + EXPECTED_OUTAGE_MARGIN
-    reachable = time_left / RETRY_DELAY_DIVISOR + retry_limit
+    needed = time_to_recovery + EXPECTED_OUTAGE_MARGIN
+    reachable = remaining / RETRY_DELAY_DIVISOR + retry_limit
     if needed <= reachable:
         return NO_WAIT
     # A wait shortens the delay of the retry by a third of its length.
@@ -114,7 +114,7 @@
         """Whether the group is known to be unavailable."""
         return self.began_at is not None
 
-    def remaining(self, now: datetime.datetime) -> datetime.timedelta:
+    def time_to_recovery(self, now: datetime.datetime) -> datetime.timedelta:
         """Return the expected time to the recovery, zero if it is overdue."""
         if self.began_at is None:
             return NO_WAIT
@@ -185,22 +185,24 @@
         route: plan.Route,
         *,
         age: datetime.timedelta,
-        time_left: datetime.timedelta,
+        remaining: datetime.timedelta,
         now: datetime.datetime,
     ) -> datetime.timedelta:
         """Return how long a request may wait for the recovery.
 
-        ``age`` is the time since the request was read, ``time_left`` the
+        ``age`` is the time since the request was read, ``remaining`` the
         time to its deadline.  Only streams wait.
         """
         if self.began_at is None or route.kind is not plan.Kind.STREAMING:
             return NO_WAIT
         limit = max_wait(route, age)
-        remaining = self.remaining(now)
-        if admission.is_retry(route, time_left + age):
-            return retry_wait(remaining, limit)
+        time_to_recovery = self.time_to_recovery(now)
+        if admission.is_retry(route, remaining + age):
+            return retry_wait(time_to_recovery, limit)
         retry_limit = max_wait(route, NO_WAIT)
-        return first_request_wait(remaining, limit, time_left, retry_limit)
+        return first_request_wait(
+            time_to_recovery, limit, remaining, retry_limit
+        )
 
     async def wait_for_recovery(self, limit: datetime.timedelta) -> bool:
         """Wait for the recovery; return False if ``limit`` passed first."""
--- a/src/aspenfold/_internal/gateway/outages.py
+++ b/src/aspenfold/_internal/gateway/outages.py
@@ -81,7 +81,9 @@
                 return None
             found.append(known)
         now = self._clock.now()
-        return min(found, key=lambda one: one.remaining(now), default=None)
+        return min(
+            found, key=lambda one: one.time_to_recovery(now), default=None
+        )
 
     def time_since_recovery(
         self, endpoints: abc.Sequence[directory.Endpoint]
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -44,11 +44,11 @@
     now: datetime.datetime,
     *,
     age: datetime.timedelta = 0 * MS,
-    time_left: datetime.timedelta = TIMEOUT,
+    remaining: datetime.timedelta = TIMEOUT,
     route: plan.Route = ROUTE,
 ) -> datetime.timedelta:
     """Return how long a request may wait."""
-    return found.wait_limit(route, age=age, time_left=time_left, now=now)
+    return found.wait_limit(route, age=age, remaining=remaining, now=now)
 
 
 def test_only_streams_wait_and_only_during_an_outage() -> None:
@@ -56,18 +56,18 @@
     assert not wait(outage.Outage(), clock.EPOCH)
     found, now = ongoing_outage(4 * SECOND)
     plain = dataclasses.replace(ROUTE, kind=plan.Kind.SAFE)
-    assert not wait(found, now, time_left=SECOND, route=plain)
+    assert not wait(found, now, remaining=SECOND, route=plain)
 
 
 def test_a_retry_waits_only_if_the_recovery_may_be_near() -> None:
     """Otherwise the retry must be refused immediately."""
-    time_left = TIMEOUT / 2
+    remaining = TIMEOUT / 2
     early, now = ongoing_outage(SECOND)
-    assert not wait(early, now, time_left=time_left)
+    assert not wait(early, now, remaining=remaining)
     late, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION - SECOND)
-    assert wait(late, now, time_left=time_left) == MAX_WAIT
+    assert wait(late, now, remaining=remaining) == MAX_WAIT
     overdue, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION * 2)
-    assert wait(overdue, now, time_left=time_left) == MAX_WAIT
+    assert wait(overdue, now, remaining=remaining) == MAX_WAIT
 
 
 def test_a_first_request_waits_only_as_long_as_its_retry_needs() -> None:
@@ -93,12 +93,12 @@
 def test_no_wait_exceeds_the_first_event_timeout() -> None:
     """The time that the request has already waited must count."""
     late, now = ongoing_outage(outage.EXPECTED_OUTAGE_DURATION)
-    time_left = TIMEOUT / 2
+    remaining = TIMEOUT / 2
     assert (
-        wait(late, now, time_left=time_left - SECOND, age=SECOND)
+        wait(late, now, remaining=remaining - SECOND, age=SECOND)
         == MAX_WAIT - SECOND
     )
-    assert not wait(late, now, time_left=time_left - MAX_WAIT, age=MAX_WAIT)
+    assert not wait(late, now, remaining=remaining - MAX_WAIT, age=MAX_WAIT)
 
 
 def test_a_recovery_before_the_outage_is_ignored() -> None:
