--- a/src/aspenfold/_internal/gateway/directory.py
+++ b/src/aspenfold/_internal/gateway/directory.py
@@ -24,8 +24,8 @@
 MAX_FAILURE_PAUSE = datetime.timedelta(seconds=4)
 
 STORE_RECOVERY_TIMEOUT = datetime.timedelta(seconds=2)
-"""Time after the store's recovery in which endpoints register again if
-their entries expired meanwhile."""
+"""Time after the last failed store call in which endpoints whose entries
+expired register again."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -180,14 +180,14 @@
         return True
 
     def remove_missing(
-        self, now: datetime.datetime, recovered_at: datetime.datetime
+        self, now: datetime.datetime, failed_at: datetime.datetime
     ) -> list[str]:
         """Forget endpoints that did not register again after a store outage.
 
-        ``recovered_at`` is the time of the store's recovery.  Return the
+        ``failed_at`` is the time of the last failed store call.  Return the
         names of the endpoints.
         """
-        if now - recovered_at < STORE_RECOVERY_TIMEOUT:
+        if now - failed_at < STORE_RECOVERY_TIMEOUT:
             return []
         missing = [
             e.name
--- a/src/aspenfold/_internal/gateway/endpoint_feed.py
+++ b/src/aspenfold/_internal/gateway/endpoint_feed.py
@@ -54,7 +54,7 @@
         self._entries: dict[str, ports.Record] = {}
         # What the current poll found, for followers.
         self._changed: list[ports.Record] = []
-        self._absent: list[str] = []
+        self._removed: list[str] = []
         self._failures = 0
         self._read_at: datetime.datetime | None = None
 
@@ -90,8 +90,8 @@
         self._failures = 0
         self._read_at = self._clock.now()
         changed, self._changed = self._changed, []
-        absent, self._absent = self._absent, []
-        if not changed and not absent:
+        removed, self._removed = self._removed, []
+        if not changed and not removed:
             self._publish(None)
             return
         self._publish(
@@ -99,7 +99,7 @@
                 topic=self._platform.endpoint_topic,
                 end=self._next_offset or 0,
                 records=tuple(changed),
-                absent=tuple(absent),
+                removed=tuple(removed),
             )
         )
 
@@ -190,7 +190,7 @@
 
     def _on_removed(self, name: str) -> None:
         self._entries.pop(name, None)
-        self._absent.append(name)
+        self._removed.append(name)
         # Stale reads must not add it again.
         last = (self._next_offset or 0) - 1
         self._last_offsets[name] = max(self._last_offsets.get(name, -1), last)
@@ -198,12 +198,12 @@
 
     def remove_missing(self) -> None:
         """Remove endpoints that are still missing after a store outage."""
-        if self._health.lost or self._health.failed_at is None:
+        if self._health.last_call_failed or self._health.failed_at is None:
             return
-        lost = self._directory.remove_missing(
+        removed_names = self._directory.remove_missing(
             self._clock.now(), self._health.failed_at
         )
-        for name in lost:
+        for name in removed_names:
             self._on_removed(name)
 
     def snapshot(self) -> relay.RelayedRecords | None:
@@ -214,7 +214,7 @@
             topic=self._platform.endpoint_topic,
             end=self._next_offset,
             records=tuple(self._entries.values()),
-            whole=True,
+            is_complete=True,
         )
 
     def apply_relayed(self, relayed: relay.RelayedRecords) -> None:
@@ -222,8 +222,8 @@
         for record in relayed.records:
             self._apply_record(record)
         next_offset = self._next_offset or 0
-        removed_names = relayed.absent
-        if relayed.whole and relayed.end >= next_offset:
+        removed_names = relayed.removed
+        if relayed.is_complete and relayed.end >= next_offset:
             present = {record.key for record in relayed.records}
             names = self._directory.names()
             removed_names = tuple(
@@ -238,4 +238,4 @@
         self._next_offset = max(next_offset, relayed.end)
         # Only records that this gateway read are published.
         self._changed.clear()
-        self._absent.clear()
+        self._removed.clear()
--- a/src/aspenfold/_internal/gateway/plan_feed.py
+++ b/src/aspenfold/_internal/gateway/plan_feed.py
@@ -91,7 +91,7 @@
     async def _wait_for_store(self) -> None:
         """Wait until the endpoint feed has reached the store again."""
         while (
-            self._health.lost
+            self._health.last_call_failed
             and self._read_mode() is not selection_module.ReadMode.NONE
         ):
             await asyncio.sleep(store_health.IDLE_POLL_INTERVAL_S)
--- a/src/aspenfold/_internal/gateway/relay.py
+++ b/src/aspenfold/_internal/gateway/relay.py
@@ -39,15 +39,15 @@
 class RelayedRecords:
     """Records of one topic that a reader read up to ``end``.
 
-    ``records`` are the changed ones, or all of them if ``whole``.
-    ``absent`` are keys that disappeared without a record.
+    ``records`` are the changed ones, or all of them if ``is_complete``.
+    ``removed`` are removed keys, which have no record here.
     """
 
     topic: str
     end: int
     records: tuple[ports.Record, ...] = ()
-    absent: tuple[str, ...] = ()
-    whole: bool = False
+    removed: tuple[str, ...] = ()
+    is_complete: bool = False
 
 
 def encode(relayed: RelayedRecords) -> bytes:
@@ -57,7 +57,13 @@
     such a record as its reader did.
     """
     records = [[r.offset, r.key, _text(r.value)] for r in relayed.records]
-    line = [relayed.topic, relayed.end, records, relayed.absent, relayed.whole]
+    line = [
+        relayed.topic,
+        relayed.end,
+        records,
+        relayed.removed,
+        relayed.is_complete,
+    ]
     return orjson.dumps(line) + b'\n'
 
 
@@ -71,7 +77,7 @@
     Raises ``ValueError`` if the line is malformed.
     """
     try:
-        topic, end, records, absent, whole = orjson.loads(line)
+        topic, end, records, removed, is_complete = orjson.loads(line)
         return RelayedRecords(
             topic=str(topic),
             end=int(end),
@@ -83,8 +89,8 @@
                 )
                 for offset, key, value in records
             ),
-            absent=tuple(str(key) for key in absent),
-            whole=bool(whole),
+            removed=tuple(str(key) for key in removed),
+            is_complete=bool(is_complete),
         )
     except (TypeError, AttributeError) as exc:
         raise ValueError(f'malformed relayed records: {exc}') from exc
--- a/src/aspenfold/_internal/gateway/store_health.py
+++ b/src/aspenfold/_internal/gateway/store_health.py
@@ -21,8 +21,7 @@
 class StoreHealth:
     """Result of the latest store calls, shared by all feeds.
 
-    ``lost`` is whether the last call failed, ``failed_at`` when a call
-    failed last.
+    ``failed_at`` is the time of the last failed call.
     """
 
     def __init__(
@@ -35,21 +34,21 @@
         self._selection = selection
         self._reread_until: datetime.datetime | None = None
         self.failed_at: datetime.datetime | None = None
-        self.lost = False
+        self.last_call_failed = False
 
     def on_failure(self, feed: str, exc: Exception) -> None:
         """Record that a call by the feed named ``feed`` failed."""
         self.failed_at = self._clock.now()
         self._selection.on_store_failure(self.failed_at)
-        if not self.lost:
-            self.lost = True
+        if not self.last_call_failed:
+            self.last_call_failed = True
             events.emit(events.Event.LOG_LOST, feed=feed, error=str(exc)[:200])
 
     def on_success(self) -> None:
         """Record that a call was answered."""
         self._selection.on_store_success()
-        if self.lost:
-            self.lost = False
+        if self.last_call_failed:
+            self.last_call_failed = False
             events.emit(events.Event.LOG_BACK)
 
     def on_history_trimmed(self, feed: str) -> None:
--- a/tests/unit/test_store_feeds.py
+++ b/tests/unit/test_store_feeds.py
@@ -317,12 +317,12 @@
     harness.feeds.apply_relayed(relay.decode(relayed((5, 'c', b'ready'))))
     assert harness.routable() == ['a', 'b', 'c']
     harness.feeds.apply_relayed(relay.decode(relayed((6, 'a', b'draining'))))
-    harness.feeds.apply_relayed(relay.decode(relayed(absent=('b',), end=8)))
+    harness.feeds.apply_relayed(relay.decode(relayed(removed=('b',), end=8)))
     assert harness.routable() == ['c']
-    whole = relayed((7, 'd', b'ready'), whole=True, end=9)
-    harness.feeds.apply_relayed(relay.decode(whole))
+    complete = relayed((7, 'd', b'ready'), is_complete=True, end=9)
+    harness.feeds.apply_relayed(relay.decode(complete))
     assert harness.routable() == ['d']
-    old = relayed((0, 'a', b'ready'), (1, 'b', b'ready'), whole=True)
+    old = relayed((0, 'a', b'ready'), (1, 'b', b'ready'), is_complete=True)
     harness.feeds.apply_relayed(relay.decode(old))
     assert harness.routable() == ['d']
 
