--- a/src/aspenfold/_internal/expertmaps/messages.py
+++ b/src/aspenfold/_internal/expertmaps/messages.py
@@ -78,10 +78,10 @@
 class OrderReset:
     """Make the engine discard all unfinished grants.
 
-    ``fencing`` is the fencing token of an order to the engine: the ballot.
+    ``token`` is the fencing token of an order to the engine: the ballot.
     """
 
-    fencing: int
+    token: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -90,7 +90,7 @@
 
     version: int
     experts: tuple[int, ...]
-    fencing: int
+    token: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -98,7 +98,7 @@
     """Grant the engine a run of steps."""
 
     run: StepRun
-    fencing: int
+    token: int
 
 
 Action = SendMessage | OrderReset | OrderPrepare | OrderGrant
--- a/src/aspenfold/_internal/expertmaps/rank_machine.py
+++ b/src/aspenfold/_internal/expertmaps/rank_machine.py
@@ -109,7 +109,7 @@
                 self._preparing.discard(version)
             case messages.OrderGrant(run=run):
                 self._ordered_runs.discard(run)
-            case messages.OrderReset(fencing=token):
+            case messages.OrderReset(token=token):
                 if token == self.promised_ballot:
                     return self._request_higher_ballot()
         return []
@@ -184,7 +184,7 @@
         self._runs.clear()
         self._ordered_runs.clear()
         self._last_progress_step = -1
-        return [messages.OrderReset(fencing=message.ballot)]
+        return [messages.OrderReset(token=message.ballot)]
 
     def _prepare(self, message: messages.Message) -> list[messages.Action]:
         version = message.version
@@ -197,7 +197,7 @@
             messages.OrderPrepare(
                 version=version,
                 experts=message.placement[self.rank],
-                fencing=message.ballot,
+                token=message.ballot,
             )
         ]
 
@@ -211,7 +211,7 @@
             if run.last <= self.step:
                 continue
             self._ordered_runs.add(run)
-            result.append(messages.OrderGrant(run=run, fencing=message.ballot))
+            result.append(messages.OrderGrant(run=run, token=message.ballot))
         result.append(self._message_leader(Kind.GRANTED))
         return result
 
--- a/src/aspenfold/_internal/gateway/map_planner.py
+++ b/src/aspenfold/_internal/gateway/map_planner.py
@@ -82,7 +82,7 @@
                 ranks=len(slowdowns),
                 experts=self._shape.experts,
                 slots_per_rank=self._shape.slots_per_rank,
-                max_new_experts=self._shape.spare,
+                max_new_experts=self._shape.max_new_experts,
             ),
             loads_by_set=loads_by_set,
             current=[[list(held) for held in one] for one in current],
@@ -122,7 +122,7 @@
     @property
     def _max_copies_per_rank(self) -> int:
         """How many new experts one stage may copy to each rank."""
-        most = self._shape.spare * self._shape.sets
+        most = self._shape.max_new_experts * self._shape.sets
         if not self._shape.copy_time:
             return most
         return min(most, max(1, MAX_STAGE_DURATION // self._shape.copy_time))
--- a/src/aspenfold/_internal/gateway/plan.py
+++ b/src/aspenfold/_internal/gateway/plan.py
@@ -66,14 +66,14 @@
 
     The model has ``sets`` sets of ``experts`` experts each.  In each set
     a rank holds up to ``slots_per_rank`` experts, and one change of the
-    map may add up to ``spare`` new ones.  ``copy_time`` is the time a
-    rank takes to copy one expert, zero if it is not known.
+    map may add up to ``max_new_experts``.  ``copy_time`` is the time a rank
+    takes to copy one expert, zero if it is not known.
     """
 
     sets: int
     experts: int
     slots_per_rank: int
-    spare: int
+    max_new_experts: int
     copy_time: datetime.timedelta
 
 
--- a/src/aspenfold/_internal/membership/endpoint.py
+++ b/src/aspenfold/_internal/membership/endpoint.py
@@ -14,7 +14,7 @@
     The agent reports ``load`` in its reports and with every frame.
     ``last_report_at`` is the time of the last one, None if the agent has
     not reported or the report is no longer valid.  ``in_flight`` is the
-    number of this entry's own calls there, ``in_flight_at_report`` that
+    number of this entry's own calls there, ``in_flight_at_load`` that
     number at the last report.  ``failures`` are consecutive.
 
     The other fields are for endpoints of a rank group: ``map_version`` is
@@ -27,7 +27,7 @@
     load: frames.Load = dataclasses.field(default_factory=frames.Load)
     last_report_at: datetime.datetime | None = None
     in_flight: int = 0
-    in_flight_at_report: int = 0
+    in_flight_at_load: int = 0
     failures: int = 0
     ejected_until: datetime.datetime | None = None
     map_version: int = 0
@@ -52,7 +52,7 @@
         change since then of this entry's own calls is added.
         """
         reported = self.load.running + self.load.waiting
-        count_change = self.in_flight - self.in_flight_at_report
+        count_change = self.in_flight - self.in_flight_at_load
         return max(reported + count_change, self.in_flight) / max(
             1, self.load.capacity
         )
@@ -67,4 +67,4 @@
         """Store a load that the agent reported."""
         self.load = load
         self.last_report_at = now
-        self.in_flight_at_report = self.in_flight
+        self.in_flight_at_load = self.in_flight
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -162,24 +162,24 @@
                 group=self._group,
                 rank=self._rank_number,
                 order=type(action).__name__,
-                fencing=action.fencing,
+                fencing=action.token,
             )
             self._apply(machine.on_order_failed(action))
             return
         match action:
-            case messages.OrderReset(fencing=token):
+            case messages.OrderReset(token=token):
                 result = machine.on_engine_reset(
                     token, answer['granted_to'], answer['step']
                 )
             case messages.OrderPrepare(version=version):
                 result = machine.on_engine_prepared(version)
-            case messages.OrderGrant(run=run, fencing=token):
+            case messages.OrderGrant(run=run, token=token):
                 result = machine.on_engine_granted(run, token)
         self._apply(result)
 
 
 def _order_body(action: EngineOrder) -> dict[str, typing.Any]:
-    body: dict[str, typing.Any] = {'fencing': action.fencing}
+    body: dict[str, typing.Any] = {'fencing': action.token}
     match action:
         case messages.OrderReset():
             body['order'] = 'reset'
--- a/src/aspenfold/platform/config.py
+++ b/src/aspenfold/platform/config.py
@@ -100,7 +100,7 @@
                 sets=engine.sets,
                 experts=engine.experts,
                 slots_per_rank=engine.placements,
-                spare=engine.spare,
+                max_new_experts=engine.spare,
                 copy_time=engine.copy_time,
             )
         return plan.Service(
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -54,9 +54,9 @@
 
     def execute(self, action: group_member.EngineOrder) -> bool:
         """Execute an order; return False if its token is too low."""
-        if self.checks_fencing and action.fencing < self.fencing:
+        if self.checks_fencing and action.token < self.fencing:
             return False
-        self.fencing = max(self.fencing, action.fencing)
+        self.fencing = max(self.fencing, action.token)
         match action:
             case messages.OrderReset():
                 self.runs.clear()
@@ -149,13 +149,13 @@
     def _on_accepted(self, action: group_member.EngineOrder) -> None:
         engine = self.group.engines[self.rank]
         match action:
-            case messages.OrderReset(fencing=token):
+            case messages.OrderReset(token=token):
                 result = self.machine.on_engine_reset(
                     token, engine.last_granted_step, engine.step
                 )
             case messages.OrderPrepare(version=version):
                 result = self.machine.on_engine_prepared(version)
-            case messages.OrderGrant(run=run, fencing=token):
+            case messages.OrderGrant(run=run, token=token):
                 result = self.machine.on_engine_granted(run, token)
         self.apply(result)
 
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -33,7 +33,7 @@
     sets=1,
     experts=2,
     slots_per_rank=2,
-    spare=1,
+    max_new_experts=1,
     copy_time=datetime.timedelta(0),
 )
 
