--- a/src/aspenfold/_internal/gateway/count_reader.py
+++ b/src/aspenfold/_internal/gateway/count_reader.py
@@ -32,7 +32,7 @@
         zone: str,
     ) -> None:
         """``zone`` is the leader's availability zone."""
-        self._ranks = ranks_client
+        self._ranks_client = ranks_client
         self._planner = planner
         self._zone = zone
         self._polls = 0
@@ -113,7 +113,7 @@
         )
         read = await asyncio.gather(
             *(
-                self._ranks.counts(endpoints[r], agent_only=agent_only)
+                self._ranks_client.counts(endpoints[r], agent_only=agent_only)
                 for r in chosen
             )
         )
--- a/src/aspenfold/_internal/gateway/group_leader.py
+++ b/src/aspenfold/_internal/gateway/group_leader.py
@@ -61,7 +61,7 @@
         group: str,
         shape: plan_module.GroupShape,
         token: int,
-        members: directory.Directory,
+        endpoint_directory: directory.Directory,
         ranks_client: rank_client.RankClient,
         zone: str,
         clock: clock_module.Clock,
@@ -73,8 +73,8 @@
         self._group = group
         self._shape = shape
         self._first_token = token * TOKENS_PER_TERM
-        self._members = members
-        self._ranks = ranks_client
+        self._directory = endpoint_directory
+        self._ranks_client = ranks_client
         self._clock = clock
         self._peers = peers
         self._switch: map_switch.MapSwitch | None = None
@@ -126,9 +126,9 @@
 
     async def _discover_ranks(self) -> None:
         """Find the endpoints of all ranks, if the group is available."""
-        members = list(self._members.of_service(self._service))
+        members = list(self._directory.of_service(self._service))
         reports = await asyncio.gather(
-            *(self._ranks.report(endpoint) for endpoint in members)
+            *(self._ranks_client.report(endpoint) for endpoint in members)
         )
         found: dict[int, directory.Endpoint] = {}
         epochs: set[int] = set()
@@ -205,7 +205,10 @@
         if version == 0:
             return map_planner.initial_map(len(found), self._shape)
         rank_maps = await asyncio.gather(
-            *(self._ranks.rank_map(found[rank]) for rank in sorted(found))
+            *(
+                self._ranks_client.rank_map(found[rank])
+                for rank in sorted(found)
+            )
         )
         by_rank: list[rank_protocol.SetMap] = []
         for rank_map in rank_maps:
@@ -301,7 +304,7 @@
                 slowdowns[self._endpoints[rank].name] = round(slowdown, 2)
         if slowdowns != self._peers.slowdowns:
             self._peers.slowdowns = slowdowns
-            self._members.set_slowdowns(slowdowns)
+            self._directory.set_slowdowns(slowdowns)
             events.emit(
                 events.Event.RANKS_SLOW, group=self._group, paces=slowdowns
             )
@@ -323,13 +326,13 @@
     ) -> None:
         endpoint = self._endpoints[action.rank]
         if isinstance(action, map_switch.RequestReport):
-            report = await self._ranks.report(endpoint)
+            report = await self._ranks_client.report(endpoint)
             if report is None or self._switch is not switch:
                 return
             self._slowdowns[report.rank] = report.slowdown
             actions = switch.on_report(report, self._clock.now())
         else:
-            answer = await self._ranks.order(endpoint, action)
+            answer = await self._ranks_client.order(endpoint, action)
             if self._switch is not switch:
                 return
             if answer is not rank_protocol.Answer.ACCEPTED:
--- a/src/aspenfold/_internal/gateway/group_monitor.py
+++ b/src/aspenfold/_internal/gateway/group_monitor.py
@@ -33,7 +33,7 @@
         rng: random.Random,
     ) -> None:
         self._core = core
-        self._ranks = ranks_client
+        self._ranks_client = ranks_client
         self._rng = rng
 
     async def run(self) -> None:
@@ -58,7 +58,7 @@
         chosen = unknown[:MAX_LOOKUPS_PER_POLL]
         reports = await asyncio.gather(
             *(
-                self._ranks.report(endpoint, agent_only=True)
+                self._ranks_client.report(endpoint, agent_only=True)
                 for endpoint in chosen
             )
         )
@@ -85,7 +85,7 @@
         }
         reports = await asyncio.gather(
             *(
-                self._ranks.report(e, agent_only=True)
+                self._ranks_client.report(e, agent_only=True)
                 for e in rank_by_group.values()
             )
         )
--- a/src/aspenfold/_internal/gateway/leadership.py
+++ b/src/aspenfold/_internal/gateway/leadership.py
@@ -66,7 +66,7 @@
         self._core = core
         self._peers = peers
         self._store = platform.store
-        self._ranks = ranks_client
+        self._ranks_client = ranks_client
         self._rng = rng
         self._election = election_module.LeaseElection(
             name=f'{host}/{rng.getrandbits(PROCESS_ID_BITS):08x}',
@@ -301,7 +301,7 @@
             return set()
         members = self._core.directory.of_service(service)
         reports = await asyncio.gather(
-            *(self._ranks.report(endpoint) for endpoint in members)
+            *(self._ranks_client.report(endpoint) for endpoint in members)
         )
         return {r.group for r in reports if r is not None}
 
@@ -313,8 +313,8 @@
             group=group,
             shape=shape,
             token=self._led_token,
-            members=self._core.directory,
-            ranks_client=self._ranks,
+            endpoint_directory=self._core.directory,
+            ranks_client=self._ranks_client,
             zone=self._core.cfg.availability_zone,
             clock=self._core.clock,
             peers=self._peers,
--- a/src/aspenfold/_internal/gateway/peers.py
+++ b/src/aspenfold/_internal/gateway/peers.py
@@ -105,7 +105,8 @@
 class Peers:
     """Receives the updates of peers and creates this gateway's own.
 
-    Requests in flight of peers are added to the endpoints of ``members``.
+    Requests in flight of peers are added to the endpoints in
+    ``endpoint_directory``.
     The attributes ``plan_offset``, ``token``, ``slowdowns``, ``is_reader``
     and ``recovery_ages`` are sent with the next update.  ``rejected``
     counts datagrams that were malformed or not from a gateway.
@@ -118,7 +119,7 @@
         zone: str,
         incarnation: str,
         port: int,
-        members: directory.Directory,
+        endpoint_directory: directory.Directory,
         now: datetime.datetime,
     ) -> None:
         """``incarnation`` must be unique to this process, started ``now``.
@@ -131,7 +132,7 @@
         self._port = port
         self._has_addresses = False
         self._incarnation = incarnation
-        self._members = members
+        self._directory = endpoint_directory
         self._sequence = 0
         self._peers: dict[str, _Peer] = {}
         self._addresses: dict[str, settings.TcpAddress] = {}
@@ -188,7 +189,7 @@
         self._add_in_flight(update, 1)
         peer.update = update
         if update.token:
-            self._members.set_slowdowns(update.slowdowns)
+            self._directory.set_slowdowns(update.slowdowns)
         return update
 
     def is_leader_alive(self, now: datetime.datetime) -> bool:
@@ -271,7 +272,7 @@
             self._add_to_endpoint(name, sign * count)
 
     def _add_to_endpoint(self, name: str, count: int) -> None:
-        endpoint = self._members.get(name)
+        endpoint = self._directory.get(name)
         if endpoint is not None:
             endpoint.peer_in_flight = max(0, endpoint.peer_in_flight + count)
 
@@ -292,7 +293,7 @@
         Peers of other zones get changes of requests in flight less often.
         """
         local, remote = self._local_and_remote_addresses()
-        in_flight_counts = self._members.in_flight()
+        in_flight_counts = self._directory.in_flight()
         update = self._update_fields()
         update_interval = MIN_INTERVAL + INTERVAL_PER_PEER * len(
             self._addresses
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -87,7 +87,7 @@
             zone=cfg.availability_zone,
             incarnation=secrets.token_hex(4),
             port=cfg.peer_port,
-            members=self._core.directory,
+            endpoint_directory=self._core.directory,
             now=clock.now(),
         )
         self._follower = relay.Follower(
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -298,7 +298,7 @@
 
 def gateways() -> tuple[peers.Peers, peers.Peers, directory.Directory]:
     """Return two peers that know each other, and the second's directory."""
-    roster = {
+    addresses = {
         name: settings.TcpAddress(host=f'10.0.0.{i}', port=7)
         for i, name in enumerate(('g-1', 'g-2'))
     }
@@ -311,10 +311,10 @@
             zone='z',
             incarnation='i',
             port=7,
-            members=known,
+            endpoint_directory=known,
             now=clock.EPOCH,
         )
-        one.set_addresses(roster)
+        one.set_addresses(addresses)
         made.append((one, known))
     return made[0][0], made[1][0], made[1][1]
 
@@ -339,14 +339,14 @@
         zone='z',
         incarnation='i',
         port=7,
-        members=known,
+        endpoint_directory=known,
         now=clock.EPOCH,
     )
-    roster = {
+    addresses = {
         f'g-{i}': settings.TcpAddress(host=f'10.0.0.{i}', port=7)
         for i in range(31)
     }
-    one.set_addresses(roster)
+    one.set_addresses(addresses)
     for i in range(1, 31):
         zone = 'z' if i <= 10 else 'y'
         fields = [f'g-{i}', 'i', 1, {}, 5, 0, {}, zone, False, {}]
@@ -371,7 +371,7 @@
 def test_requests_in_flight_at_peers_are_counted() -> None:
     """Late and duplicate updates must be ignored."""
     one, two, known = gateways()
-    sender = one._members.get('w')
+    sender = one._directory.get('w')
     endpoint = known.get('w')
     assert sender is not None
     assert endpoint is not None
--- a/tests/unit/test_store_feeds.py
+++ b/tests/unit/test_store_feeds.py
@@ -341,7 +341,7 @@
 
 
 def test_changes_are_published_once() -> None:
-    """A heartbeat without changes publishes only a keepalive."""
+    """A poll that finds no changes publishes only a keepalive."""
     harness = harness_with_endpoints()
     harness.feeds.endpoints.publish_changes()
     harness.read_list(page((2, 'a', b'ready'), (3, 'b', b'draining')))
--- a/tests/unit/test_switch.py
+++ b/tests/unit/test_switch.py
@@ -86,12 +86,12 @@
 def test_an_outdated_report_of_a_hold_starts_no_rollback() -> None:
     """A hold reported from before its release must not start a rollback."""
     rig = SwitchRig()
-    freeze = rig.report(held=11)
+    fence = rig.report(held=11)
     assert rig.switch.state is map_switch.State.FENCE
-    rig.accept(freeze)
+    rig.accept(fence)
     rig.now += 20 * MS
-    asks = rig.switch.tick(rig.now)
-    assert asks == [map_switch.RequestReport(rank=0)]
+    requests = rig.switch.tick(rig.now)
+    assert requests == [map_switch.RequestReport(rank=0)]
     release = rig.report(held=11)
     rig.accept(release)
     assert rig.switch.is_ready
