--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -259,10 +259,10 @@
         """Record that the log service is unavailable."""
         self._log_up = False
 
-    def on_host_list(self, listing: hosts.HostList) -> None:
+    def on_host_list(self, host_list: hosts.HostList) -> None:
         """Update the view of the hosts from the platform's host list."""
-        self.view.update_hosts(listing)
-        entries = sum(h.role is hosts.Role.ENTRY for h in listing.hosts)
+        self.view.update_hosts(host_list)
+        entries = sum(h.role is hosts.Role.ENTRY for h in host_list.hosts)
         self._entry_count = max(1, entries)
         self.limiter.set_share(1.0 / self._entry_count)
 
--- a/src/aspenfold/_internal/commands/fleet_client.py
+++ b/src/aspenfold/_internal/commands/fleet_client.py
@@ -159,19 +159,19 @@
         Returns an empty list if the host list cannot be read.
         """
         try:
-            listing = self._hosts.read()
+            host_list = self._hosts.read()
         except exceptions.AspenfoldError:
             return []
         return sorted(
             host.name
-            for host in listing.hosts
+            for host in host_list.hosts
             if host.role is hosts.Role.ENDPOINT
         )
 
     def list_entries(self) -> list[hosts.Host]:
         """Return the hosts that run an entry."""
-        listing = self._hosts.read()
-        return [h for h in listing.hosts if h.role is hosts.Role.ENTRY]
+        host_list = self._hosts.read()
+        return [h for h in host_list.hosts if h.role is hosts.Role.ENTRY]
 
     def fetch_status(self, host: hosts.Host) -> dict[str, typing.Any] | None:
         """Return an entry's status, or None if the request fails."""
--- a/src/aspenfold/_internal/membership/view.py
+++ b/src/aspenfold/_internal/membership/view.py
@@ -67,17 +67,17 @@
         """Return the endpoint called ``name``, None if it is unknown."""
         return self._endpoints.get(name)
 
-    def update_hosts(self, listing: hosts.HostList) -> None:
+    def update_hosts(self, host_list: hosts.HostList) -> None:
         """Update the endpoints from the host list.
 
         A list that is not newer than the last one is ignored.
         """
-        if listing.version <= self.host_list_version:
+        if host_list.version <= self.host_list_version:
             return
-        self.host_list_version = listing.version
+        self.host_list_version = host_list.version
         current = {
             host.name: host
-            for host in listing.hosts
+            for host in host_list.hosts
             if host.role is hosts.Role.ENDPOINT
         }
         for name in set(self._endpoints) - set(current):
@@ -88,7 +88,7 @@
                 self._endpoints[name] = endpoint_module.Endpoint(host=host)
             else:
                 endpoint.host = host
-        self._choose_watched(listing)
+        self._choose_watched(host_list)
 
     def watched(self) -> list[endpoint_module.Endpoint]:
         """Return the endpoints that this entry watches and routes to."""
@@ -215,17 +215,17 @@
         )
         return (ejected + 1) <= len(peers) * MAX_EJECTED_FRACTION
 
-    def _choose_watched(self, listing: hosts.HostList) -> None:
+    def _choose_watched(self, host_list: hosts.HostList) -> None:
         """Choose the watched endpoints, and derive the report interval."""
         own_zone_entries = [
             host.name
-            for host in listing.hosts
+            for host in host_list.hosts
             if host.role is hosts.Role.ENTRY
             and host.availability_zone == self._zone
         ]
         all_entries = [
             host.name
-            for host in listing.hosts
+            for host in host_list.hosts
             if host.role is hosts.Role.ENTRY
         ]
         own_zone: dict[str, list[str]] = collections.defaultdict(list)
--- a/src/aspenfold/_internal/network/agent_service.py
+++ b/src/aspenfold/_internal/network/agent_service.py
@@ -13,7 +13,7 @@
 from aspenfold._internal.rpc import aspenfold_grpc as rpc
 from aspenfold._internal.rpc import aspenfold_pb2 as pb
 
-ExecuteStream = grpclib.server.Stream
+RpcStream = grpclib.server.Stream
 
 
 class AgentHandler(typing.Protocol):
@@ -29,7 +29,7 @@
         self,
         stream_id: int,
         queue: frame_queue.FrameQueue,
-        req: frames.AttemptRequest,
+        request: frames.AttemptRequest,
     ) -> None:
         """Start or join an attempt; its frames are put into ``queue``."""
 
@@ -42,7 +42,7 @@
     def on_group_message(self, message: messages.Message) -> None:
         """Handle a message of the expert map protocol."""
 
-    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report_request(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Apply an entry's report request and return this agent's report."""
 
 
@@ -53,7 +53,7 @@
         self._handler = handler
         self._next_stream_id = 1
 
-    async def Execute(self, stream: ExecuteStream) -> None:
+    async def Execute(self, stream: RpcStream) -> None:
         """Run or join an attempt, and send its frames until they end."""
         message = await stream.recv_message()
         if message is None:
@@ -72,7 +72,7 @@
         finally:
             self._handler.on_stream_closed(stream_id)
 
-    async def Cancel(self, stream: ExecuteStream) -> None:
+    async def Cancel(self, stream: RpcStream) -> None:
         """Cancel an attempt whose answer is not needed."""
         message = await stream.recv_message()
         if message is None:
@@ -80,14 +80,14 @@
         self._handler.cancel(message.attempt_id)
         await stream.send_message(pb.CancelReply())
 
-    async def Report(self, stream: ExecuteStream) -> None:
+    async def Report(self, stream: RpcStream) -> None:
         """Handle an entry's report request."""
         message = await stream.recv_message()
         if message is None:
             return
-        await stream.send_message(self._handler.on_report(message))
+        await stream.send_message(self._handler.on_report_request(message))
 
-    async def Group(self, stream: ExecuteStream) -> None:
+    async def Group(self, stream: RpcStream) -> None:
         """Receive a message of the expert map protocol."""
         message = await stream.recv_message()
         if message is None:
--- a/src/aspenfold/_internal/network/http.py
+++ b/src/aspenfold/_internal/network/http.py
@@ -37,7 +37,7 @@
 
 
 def call_json(
-    connections: urllib3.HTTPConnectionPool,
+    pool: urllib3.HTTPConnectionPool,
     method: str,
     path: str,
     *,
@@ -51,7 +51,7 @@
     """
     data = None if body is None else orjson.dumps(body)
     try:
-        response = connections.request(
+        response = pool.request(
             method,
             path,
             body=data,
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -116,7 +116,7 @@
         if self._member is not None:
             self._member.receive(message)
 
-    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report_request(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Apply an entry's report request and return this agent's report."""
         self._config_version = max(self._config_version, request.version)
         self.kernel.on_drain_order(
--- a/src/aspenfold/_internal/processes/gateway.py
+++ b/src/aspenfold/_internal/processes/gateway.py
@@ -130,8 +130,8 @@
         self.metrics_port = 0
         self.relay_port = 0
         self._caller_server = self._create_server(self._handle_request)
-        self._health_server = self._create_server(self._answer_health)
-        self._metrics_server = self._create_server(self._answer_metrics)
+        self._health_server = self._create_server(self._send_health)
+        self._metrics_server = self._create_server(self._send_metrics)
         self._relay_server = self._create_server(self._publisher.handle)
         self._in_flight = 0
         gateway_metrics.register(
@@ -298,7 +298,7 @@
         """Version of the current plan, 0 for none."""
         return self._core.plan_version
 
-    async def _answer_health(
+    async def _send_health(
         self,
         request: http1_server.Request,
         response: http1_server.ResponseWriter,
@@ -306,7 +306,7 @@
         response.start(200 if self.ready else 503, [(b'content-length', b'0')])
         response.end()
 
-    async def _answer_metrics(
+    async def _send_metrics(
         self,
         request: http1_server.Request,
         response: http1_server.ResponseWriter,
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -155,8 +155,8 @@
         """Send an order to the engine and pass its response on."""
         machine = self._rank_machine
         assert machine is not None
-        answer = await self._endpoint.send_order(_order_body(action))
-        if answer is None:
+        response = await self._endpoint.send_order(_order_body(action))
+        if response is None:
             events.emit(
                 events.Event.ORDER_REFUSED,
                 group=self._group,
@@ -169,7 +169,7 @@
         match action:
             case messages.OrderReset(token=token):
                 result = machine.on_engine_reset(
-                    token, answer['granted_to'], answer['step']
+                    token, response['granted_to'], response['step']
                 )
             case messages.OrderPrepare(version=version):
                 result = machine.on_engine_prepared(version)
--- a/tests/lib/operators.py
+++ b/tests/lib/operators.py
@@ -30,20 +30,20 @@
 
     ``before_append`` runs once, just before an append takes effect; a test
     makes a concurrent change there.  The next ``appends_to_fail`` appends
-    raise without effect.  Then ``answers_to_lose`` appends take effect but
+    raise without effect.  Then ``responses_to_lose`` appends take effect but
     raise as well.
     """
 
     def __init__(self, log: fake_log.FakeLog) -> None:
         self.log = log
         self.before_append: abc.Callable[[], None] | None = None
-        self.answers_to_lose = 0
+        self.responses_to_lose = 0
         self.appends_to_fail = 0
 
     def append(self, stream: str, record: records.Record) -> int:
         """Append a record, subject to the faults, and return its offset.
 
-        Raises LogUnavailable if the append fails or its answer is lost.
+        Raises LogUnavailable if the append fails or its response is lost.
         """
         self._check()
         if self.appends_to_fail:
@@ -53,9 +53,9 @@
             concurrent_change, self.before_append = self.before_append, None
             concurrent_change()
         offset = self.log.append(stream, record)
-        if self.answers_to_lose:
-            self.answers_to_lose -= 1
-            raise exceptions.LogUnavailable('answer to the append lost')
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
+            raise exceptions.LogUnavailable('response to the append lost')
         return offset
 
     def read(self, stream: str, start: int) -> reader.Page:
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -89,7 +89,7 @@
     failed_appends: int,
 ) -> None:
     """After an error the client looks for its record on the log."""
-    log.answers_to_lose = lost_responses
+    log.responses_to_lose = lost_responses
     log.appends_to_fail = failed_appends
     assert (
         run_apply(log, write_fleet(tmp_path, 'first'))
@@ -110,7 +110,7 @@
     log.before_append = lambda: run_apply(
         rival, write_fleet(tmp_path, 'rival')
     )
-    log.answers_to_lose = 1
+    log.responses_to_lose = 1
     with pytest.raises(exceptions.ConfigError) as caught:
         run_apply(log, write_fleet(tmp_path, 'mine'))
     assert caught.value.failure.code is exceptions.Code.CONFIG_CONFLICT
