--- a/src/aspenfold/_internal/expertmaps/greedy.py
+++ b/src/aspenfold/_internal/expertmaps/greedy.py
@@ -8,7 +8,8 @@
 from aspenfold._internal.models import fleet
 
 MAX_MOVED_FRACTION = 0.5
-"""Limit of the moves in one plan, as a fraction of all slots."""
+"""Weights moved in one plan, as a fraction of all slots, above which no more
+moves are made."""
 
 MAX_COLD_RANKS = 24
 """Least loaded ranks that are tried as the target of a move."""
@@ -115,15 +116,15 @@
             return planner.pack(shape, load)
         draft = _Draft(current, load)
         slots = shape.ranks * shape.slots_per_rank
-        moves = 0
+        moved = 0
         while draft.skew() > price.skew_bound:
             before = draft.skew()
             hot = draft.hottest()
             move = _best_move(draft, hot)
-            if move is None or moves > slots * MAX_MOVED_FRACTION:
+            if move is None or moved > slots * MAX_MOVED_FRACTION:
                 break
             draft.apply(move, hot)
-            moves += move.weights
+            moved += move.weights
             if not _is_worth_its_price(
                 before - draft.skew(), move, draft, price
             ):
--- a/src/aspenfold/_internal/expertmaps/map_switch.py
+++ b/src/aspenfold/_internal/expertmaps/map_switch.py
@@ -115,7 +115,8 @@
         State.RELEASE_ARMED,
     }
 )
-"""States in which a round is in progress and can be rolled back."""
+"""States of a round whose pass is not known to be released yet; a rollback
+from one of them counts in ``rollbacks``."""
 
 
 _HOLDING_STATES = frozenset(
@@ -154,8 +155,9 @@
 
     ``version`` is the map in use, None until known; ``step`` the last pass
     that was reported as begun, and ``pass_rate`` the passes per second.
-    ``rollbacks`` counts the rounds that were rolled back.  ``fenced`` is
-    set once a rank has refused an order for its token.
+    ``rollbacks`` counts the rounds that were rolled back before their pass
+    was released.  ``fenced`` is set once a rank has refused an order for
+    its token.
     """
 
     def __init__(
--- a/src/aspenfold/_internal/gateway/forwarding.py
+++ b/src/aspenfold/_internal/gateway/forwarding.py
@@ -46,8 +46,8 @@
         self, *, header_names: header_names_module.HeaderNames
     ) -> None:
         self._names = header_names
-        # Set by the gateway; values from callers are dropped.
-        self._replaced_headers = HOP_BY_HOP | {
+        # Dropped from requests; the gateway sets some of them itself.
+        self._dropped_headers = HOP_BY_HOP | {
             b'authorization',
             b'content-length',
             header_names.expected_endpoint,
@@ -70,7 +70,7 @@
         ``remaining_ms`` is the time to the deadline in milliseconds.
         ``last_event_id`` is empty unless the attempt resumes a stream.
         """
-        dropped = self._replaced_headers | _connection_headers(request.headers)
+        dropped = self._dropped_headers | _connection_headers(request.headers)
         if last_event_id:
             dropped = dropped | {self._names.last_event_id}
         headers = [(n, v) for n, v in request.headers if n not in dropped]
--- a/src/aspenfold/_internal/gateway/header_names.py
+++ b/src/aspenfold/_internal/gateway/header_names.py
@@ -5,7 +5,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HeaderNames:
-    """Lower-case names of the headers that the gateway reads or sets."""
+    """Lower-case header names.
+
+    ``signature``, ``token_usage`` and ``length_hint`` are not read, but
+    only passed on.
+    """
 
     attempt_id: bytes
     time_left_ms: bytes
--- a/src/aspenfold/_internal/membership/view.py
+++ b/src/aspenfold/_internal/membership/view.py
@@ -40,7 +40,8 @@
 """How long an ejected endpoint gets no new requests."""
 
 MAX_EJECTED_FRACTION = 0.5
-"""Largest fraction of a service's endpoints that may be ejected at once."""
+"""Largest fraction of a service's watched endpoints that may be ejected at
+once."""
 
 
 class EndpointView:
@@ -208,12 +209,12 @@
     def _may_eject(
         self, endpoint: endpoint_module.Endpoint, now: datetime.datetime
     ) -> bool:
-        peers = self._watched.get(endpoint.host.service, [])
+        watched = self._watched.get(endpoint.host.service, [])
         ejected = sum(
-            peer.ejected_until is not None and peer.ejected_until > now
-            for peer in peers
+            each.ejected_until is not None and each.ejected_until > now
+            for each in watched
         )
-        return (ejected + 1) <= len(peers) * MAX_EJECTED_FRACTION
+        return (ejected + 1) <= len(watched) * MAX_EJECTED_FRACTION
 
     def _choose_watched(self, listing: hosts.HostList) -> None:
         """Choose the watched endpoints, and derive the report interval."""
--- a/src/aspenfold/_internal/retries/policy.py
+++ b/src/aspenfold/_internal/retries/policy.py
@@ -17,4 +17,7 @@
         """Count a first attempt."""
 
     def retry_delay(self, attempt: int) -> datetime.timedelta | None:
-        """Return the delay before attempt ``attempt``, None for no retry."""
+        """Return the delay before attempt ``attempt``, None for no retry.
+
+        The first attempt is number 1 and has no delay.
+        """
