--- a/src/aspenfold/_internal/exceptions.py
+++ b/src/aspenfold/_internal/exceptions.py
@@ -81,7 +81,7 @@
     Code.KEY_REQUIRED: 'a call that must not be repeated needs an '
     'idempotency key',
     Code.KEY_REUSED: 'the key was already used with different content',
-    Code.BAD_TICKET: 'the ticket is forged or belongs to another organisation',
+    Code.BAD_TICKET: 'the ticket is invalid or of another organisation',
     Code.NO_RULE: 'no rule allows the organisation to make this call',
     Code.RATE_LIMITED: 'the organisation exceeds its request rate',
     Code.TOO_MANY_IN_FLIGHT: 'the organisation has too many calls in flight',
@@ -101,11 +101,12 @@
     'ruled out',
     Code.NO_FLEET: 'the entry or gateway has no configuration yet',
     Code.FATE_UNKNOWN: 'it is unknown whether an attempt was executed',
-    Code.INCARNATION_GONE: 'the agent that held the call was restarted',
+    Code.INCARNATION_GONE: 'the agent chosen for the call was restarted or '
+    'removed',
     Code.ENDPOINT_LOST: 'the connection to the endpoint was lost before the '
     'end of the answer',
-    Code.KEY_UNDECIDED: 'refused before the claims of the key were read; an '
-    'earlier request with it may have been executed',
+    Code.KEY_UNDECIDED: 'refused while the key was undecided; an earlier '
+    'request with it may have been executed',
     Code.ANSWER_EXPIRED: 'executed; the answer is no longer stored',
     Code.ANSWER_BROKEN: 'executed; the answer does not match its digest',
     Code.ANSWER_CUT: 'executed; the answer is truncated',
@@ -119,8 +120,8 @@
     Code.NOT_FOUND: 'no object of this name exists',
     Code.SETTINGS_INVALID: 'a settings file is missing or invalid',
     Code.PORT_UNAVAILABLE: 'the program cannot listen on the port',
-    Code.LOG_DOWN: 'the log service does not answer',
-    Code.HOST_LIST_DOWN: 'the host list does not answer',
+    Code.LOG_DOWN: 'the log service or the store is unavailable',
+    Code.HOST_LIST_DOWN: 'the host list is unavailable',
     Code.INTERNAL: 'internal error; please report it',
 }
 """Description of each code, for ``docs/ERRORS.md``."""
@@ -221,7 +222,7 @@
 
 
 class LogUnavailable(AspenfoldError):
-    """The log service did not answer; an append may have taken effect."""
+    """A request to the log failed; an append may have taken effect."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
--- a/src/aspenfold/_internal/network/http1_server.py
+++ b/src/aspenfold/_internal/network/http1_server.py
@@ -25,7 +25,7 @@
 SLOW_READER_TIMEOUT = datetime.timedelta(seconds=10)
 """A caller that does not read for longer counts as disconnected.
 
-Longer than every request timeout.
+Longer than callers wait for a response.
 """
 
 MAX_PIPELINED_BYTES = 65_536
@@ -288,7 +288,7 @@
         self._parse()
 
     def _reject(self, status: int) -> None:
-        """Answer an invalid request with ``status``, and close."""
+        """Respond to an invalid request with ``status``, and close."""
         self._stop_timer()
         if not self.started:
             self._send_short_response(status)
--- a/src/aspenfold/_internal/processes/agent.py
+++ b/src/aspenfold/_internal/processes/agent.py
@@ -108,7 +108,7 @@
         self._apply(self.kernel.on_stream_closed(stream_id))
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel an attempt that no caller waits for."""
+        """Cancel an attempt whose answer is not needed."""
         self._apply(self.kernel.cancel(attempt_id))
 
     def on_group_message(self, message: messages.Message) -> None:
@@ -116,7 +116,7 @@
         if self._member is not None:
             self._member.receive(message)
 
-    def on_report(self, request: pb.ReportRequest) -> pb.ReportReply:
+    def on_report_request(self, request: pb.ReportRequest) -> pb.ReportReply:
         """Apply an entry's report request and return this agent's report."""
         self._config_version = max(self._config_version, request.version)
         self.kernel.on_drain_order(
--- a/src/aspenfold/_internal/processes/group_member.py
+++ b/src/aspenfold/_internal/processes/group_member.py
@@ -152,34 +152,34 @@
             self._spawn(self._clients.send_group_message(*address, message))
 
     async def _send_order(self, action: EngineOrder) -> None:
-        """Send an order to the engine and pass its answer to the machine."""
+        """Send an order to the engine and pass its response on."""
         machine = self._rank_machine
         assert machine is not None
-        answer = await self._endpoint.send_order(_order_body(action))
-        if answer is None:
+        response = await self._endpoint.send_order(_order_body(action))
+        if response is None:
             events.emit(
                 events.Event.ORDER_REFUSED,
                 group=self._group,
                 rank=self._rank_number,
                 order=type(action).__name__,
-                fencing=action.fencing,
+                fencing=action.token,
             )
             self._apply(machine.on_order_failed(action))
             return
         match action:
-            case messages.OrderReset(fencing=token):
+            case messages.OrderReset(token=token):
                 result = machine.on_engine_reset(
-                    token, answer['granted_to'], answer['step']
+                    token, response['granted_to'], response['step']
                 )
             case messages.OrderPrepare(version=version):
                 result = machine.on_engine_prepared(version)
-            case messages.OrderGrant(run=run, fencing=token):
+            case messages.OrderGrant(run=run, token=token):
                 result = machine.on_engine_granted(run, token)
         self._apply(result)
 
 
 def _order_body(action: EngineOrder) -> dict[str, typing.Any]:
-    body: dict[str, typing.Any] = {'fencing': action.fencing}
+    body: dict[str, typing.Any] = {'fencing': action.token}
     match action:
         case messages.OrderReset():
             body['order'] = 'reset'
