--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -13,7 +13,7 @@
 """Length of the period in which calls and faults begin."""
 
 RECOVERY_PERIOD_MS = 14000
-"""Length of the period without faults at the end of a run."""
+"""Length of the period at the end of a run in which no faults begin."""
 
 RESUBMIT_DELAY_RANGE_MS = (80, 1500)
 """Range of the delay before a caller submits a key again."""
@@ -39,7 +39,11 @@
         self._last_id = 0
 
     def run(self) -> simulated_cluster.SimulatedCluster:
-        """Run with calls and faults, then without, and return the cluster."""
+        """Run the period with calls and faults, then the recovery period.
+
+        The faults of the log and the network end in between, but appends
+        and executions may still lose their answers.
+        """
         for _ in range(self.rng.randint(10, 30)):
             self.sim.after(
                 self.rng.random() * FAULT_PERIOD_MS, self._submit_random_call
@@ -200,7 +204,7 @@
             self.cluster.terminate_agent(agent.name)
 
     def apply_conflicting_changes(self) -> None:
-        """Append two changes of the fleet to the same version."""
+        """Append two changes based on the same version of the fleet."""
         reader = next(iter(self.cluster.entries.values())).kernel.fleet_reader
         old = reader.state.document
         for name in ('mine', 'yours'):
--- a/tests/lib/gateway_rig.py
+++ b/tests/lib/gateway_rig.py
@@ -237,7 +237,7 @@
 
 
 def deadline_header(seconds: float) -> dict[str, str]:
-    """Return the header with the time that a caller still waits."""
+    """Return the header with the remaining time of a caller's deadline."""
     return {'X_Aspenfold_Deadline_Remaining_Ms': f'{seconds * 1000:.0f}'}
 
 
--- a/tests/lib/history_checks.py
+++ b/tests/lib/history_checks.py
@@ -8,9 +8,8 @@
 from aspenfold._internal import exceptions
 from tests.lib import simulated_cluster
 
-
 MAX_HANDOVER_DELAY = datetime.timedelta(seconds=1)
-"""How long a request that an agent accepted may take to its endpoint."""
+"""Longest time from an agent's start of an attempt to its execution."""
 
 
 def executions_of(
@@ -28,7 +27,7 @@
 def check_at_most_once(
     cluster: simulated_cluster.SimulatedCluster,
 ) -> list[str]:
-    """Check P4: a call that must not be repeated runs once per key."""
+    """Check that no unrepeatable call runs more than once per key."""
     calls = {s.call.call_id: s.call for s in cluster.submissions}
     counts: dict[str, int] = {}
     for execution in cluster.executions:
@@ -43,10 +42,10 @@
 
 
 def check_not_run(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-    """Check P3: what is reported as not run never runs.
+    """Check that what is reported as not run never runs.
 
-    This holds for the refused submission and for earlier submissions of
-    its key; a later one may run.
+    This covers the refused submission and earlier submissions of its
+    key; a later one may run.  Refusals with KEY_REUSED are not checked.
     """
     violations = []
     for position, refused in enumerate(cluster.submissions):
@@ -70,7 +69,10 @@
 
 
 def check_answers(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-    """Check P2: an answer is correct and complete, or ends in an error."""
+    """Check that each answer is correct and given only once.
+
+    A call that did not complete may have received the first items.
+    """
     violations = []
     for submission in cluster.submissions:
         call = submission.call
@@ -103,7 +105,10 @@
 def check_no_work_after_sigterm(
     cluster: simulated_cluster.SimulatedCluster,
 ) -> list[str]:
-    """Check P5: an agent starts no executions after it began to drain."""
+    """Check that a draining agent starts no executions.
+
+    Those that start up to ``MAX_HANDOVER_DELAY`` late are accepted.
+    """
     violations = []
     for execution in cluster.executions:
         drain_started_at = cluster.drain_started_at.get(execution.incarnation)
--- a/tests/lib/mutations.py
+++ b/tests/lib/mutations.py
@@ -220,7 +220,7 @@
     patch.setattr(flow_module.CallFlow, '_fail', fail)
 
 
-def skip_no_steps(patch: MonkeyPatch) -> None:
+def reuse_granted_steps(patch: MonkeyPatch) -> None:
     """Let a new leader reuse steps that an earlier one granted."""
 
     def skip_earlier_grants(self: typing.Any) -> None:
--- a/tests/lib/scripted_runs.py
+++ b/tests/lib/scripted_runs.py
@@ -7,7 +7,8 @@
 def competing_claims(seed: int) -> simulated_cluster.SimulatedCluster:
     """Two entries claim a key, the second before it reads the first claim.
 
-    The first entry acts on its claim before the second claim is appended.
+    With some seeds the first entry acts on its claim before the second
+    claim is appended.
     """
     cluster = simulated_cluster.SimulatedCluster(
         seed=seed, entries=2, endpoints=2
@@ -119,7 +120,7 @@
 
 
 def partitioned_leaders(seed: int) -> simulated_group.SimulatedGroup:
-    """Two leaders in turn are partitioned from one rank, each from another.
+    """Two successive leaders are each partitioned from a different rank.
 
     The second leader runs on a new host, which has no state of the first.
     """
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -322,7 +322,7 @@
         )
 
     def on_stream_lost(self, stream_id: int, sent: bool) -> None:
-        """Tell the kernel that an answer stream broke.
+        """Notify the kernel that an answer stream broke.
 
         ``sent`` says whether the request may have reached the agent.
         """
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -269,7 +269,7 @@
 
 
 def steps_with_mixed_maps(group: SimulatedGroup) -> list[str]:
-    """Return the violations of P1: all ranks enter a step with one map."""
+    """Return a description of each step that ranks entered with two maps."""
     versions: dict[tuple[int, int], set[int]] = {}
     for entry in group.step_entries:
         step = (entry.formation, entry.step)
--- a/tests/lib/simulated_ranks.py
+++ b/tests/lib/simulated_ranks.py
@@ -33,9 +33,9 @@
     """The state of one rank.
 
     ``min_token`` is the lowest token that the rank accepts,
-    ``highest_version`` the highest version that it was ever told to
-    prepare, and ``copied_at`` the time at which the experts of the
-    prepared version are copied.
+    ``highest_version`` the highest version that it ever prepared, and
+    ``copied_at`` the time at which the experts of the prepared version
+    are copied.
     """
 
     min_token: int = 0
--- a/tests/unit/features/at_most_once.feature
+++ b/tests/unit/features/at_most_once.feature
@@ -1,4 +1,4 @@
-Feature: A request that must not be repeated runs at most once (P4)
+Feature: A request that must not be repeated runs at most once
 
   Scenario: The same key at two entries at the same moment
     Given 2 entries and 2 endpoints per service
--- a/tests/unit/features/complete_answers.feature
+++ b/tests/unit/features/complete_answers.feature
@@ -1,4 +1,4 @@
-Feature: A caller receives the complete answer to its own request (P2)
+Feature: A caller receives the complete answer to its own request
 
   Scenario: Items are delayed, reordered and duplicated
     Given 2 entries and 2 endpoints per service
--- a/tests/unit/features/draining.feature
+++ b/tests/unit/features/draining.feature
@@ -1,4 +1,4 @@
-Feature: A draining process gets no new calls and completes its own (P5, P6)
+Feature: A draining process gets no new calls and completes its own
 
   Scenario: An operator drains an endpoint
     Given 2 entries and 2 endpoints per service
--- a/tests/unit/features/not_run.feature
+++ b/tests/unit/features/not_run.feature
@@ -1,4 +1,4 @@
-Feature: A request that is reported as not run never runs (P3)
+Feature: A request that is reported as not run never runs
 
   Scenario: No entry reports "not run" for an attempt that another sealed
     Given 2 entries and 1 endpoints per service
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of the agent kernel: at most one run (P3, P4)."""
+"""State machine test of the agent kernel: no attempt runs twice."""
 
 import datetime
 
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of P7: readers agree and none goes back."""
+"""State machine test of fleet readers: all agree, and none goes back."""
 
 import typing
 
--- a/tests/unit/test_guards.py
+++ b/tests/unit/test_guards.py
@@ -22,7 +22,7 @@
 
 
 def check_delivery(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-    """Check P2 and that every call is answered."""
+    """Check that answers are correct and that none is missing."""
     return history_checks.check_answers(
         cluster
     ) + history_checks.check_all_answered(cluster)
@@ -31,7 +31,7 @@
 def check_calls_complete(
     cluster: simulated_cluster.SimulatedCluster,
 ) -> list[str]:
-    """Check P6: calls in flight at SIGTERM are answered completely."""
+    """Check that all calls but pings were answered completely."""
     return [
         f'{s.call.call_id} got {s.result}'
         for s in cluster.submissions
@@ -178,7 +178,7 @@
     'run', [scripted_runs.terminated_agent, scripted_runs.terminated_entry]
 )
 def test_shutdown_completes_calls_in_flight(run: Run) -> None:
-    """P6 holds when an agent or an entry receives SIGTERM."""
+    """SIGTERM must not truncate or drop the answers of calls in flight."""
     for seed in range(SEED_COUNT):
         assert check_calls_complete(run(seed)) == [], seed
 
@@ -189,7 +189,7 @@
 
 
 GROUP_CASES = [
-    (mutations.skip_no_steps, scripted_runs.lost_grant, 0),
+    (mutations.reuse_granted_steps, scripted_runs.lost_grant, 0),
     (mutations.require_most_promises, scripted_runs.partitioned_leaders, 0),
     (mutations.grant_newest_prepared, random_group, 0),
 ]
--- a/tests/unit/test_histories.py
+++ b/tests/unit/test_histories.py
@@ -6,12 +6,12 @@
 from tests.lib import simulated_group
 
 REGRESSION_SEEDS = (102, 145, 770, 2154, 2294)
-"""Seeds of runs that once violated P3."""
+"""Seeds of runs in which a call once ran after a refusal as not run."""
 
 
 @pytest.mark.explores
 def test_calls_satisfy_their_guarantees(seeds: range) -> None:
-    """P2 to P5 hold under faults, and each call is answered."""
+    """Faults must not cause second runs or wrong or missing answers."""
     for seed in [*seeds, *REGRESSION_SEEDS]:
         assert (
             history_checks.check_all(chaos.ChaosRun(seed=seed).run()) == []
@@ -32,7 +32,7 @@
 def test_groups_use_one_map_each_step_and_recover(
     seeds: range, checks_fencing: bool
 ) -> None:
-    """P1 holds under faults, and steps continue after they end."""
+    """Faults must neither mix maps in a step nor stop steps for good."""
     regression_seeds = (123, 234, 379, 395, 1452, 21140)
     for seed in [*seeds, *regression_seeds]:
         run = simulated_group.GroupChaosRun(
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -1,4 +1,4 @@
-"""Map plans are fenced: a paused planner changes nothing (P1, P8)."""
+"""Map plans are fenced: a paused planner changes nothing."""
 
 import random
 
@@ -103,7 +103,9 @@
     assert state.maps['group-0'].version == version
 
 
-def test_fencing_guard_removed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_paused_planners_plan_wins_without_the_token_check(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Without the token check a paused planner's plan takes effect."""
     monkeypatch.setattr(
         state_module.FleetState,
