--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -16,15 +16,15 @@
 """Bytes of an endless event that an endpoint writes at once."""
 
 
-def run_scene(
-    scene: abc.Callable[[rigs.Rig], abc.Awaitable[None]],
-    value: dict[str, object] | None = None,
+def run_scenario(
+    scenario: abc.Callable[[rigs.Rig], abc.Awaitable[None]],
+    plan: dict[str, object] | None = None,
 ) -> None:
-    """Run a scene with a gateway."""
+    """Run a scenario with a running gateway that uses ``plan``."""
 
     async def run() -> None:
-        async with rigs.running_rig(value) as rig:
-            await scene(rig)
+        async with rigs.running_rig(plan) as rig:
+            await scenario(rig)
 
     asyncio.run(run())
 
@@ -48,25 +48,25 @@
 def test_a_response_is_forwarded_unchanged() -> None:
     """Status, body and signature must be those of the endpoint."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
-        answer = await rig.request('/safe/a?b=c', body='hello')
-        assert answer.status == 200
-        assert answer.complete
-        assert answer.body == b'answer of w-1'
-        assert answer.headers[SEAL_HEADER] == 'seal-w-1'
+        response = await rig.request('/safe/a?b=c', body='hello')
+        assert response.status == 200
+        assert response.complete
+        assert response.body == b'answer of w-1'
+        assert response.headers[SEAL_HEADER] == 'seal-w-1'
         request = rig.workers[0].requests[0]
         assert (request.method, request.target) == ('POST', '/safe/a?b=c')
         assert request.body == b'hello'
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_the_endpoint_gets_the_gateways_headers_but_no_api_key() -> None:
     """Forged values from the caller must be replaced."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
         await rig.request(
@@ -76,14 +76,14 @@
             X_Aspenfold_Deadline_Remaining_Ms='900',
             X_Custom='kept',
         )
-        got = rig.workers[0].requests[0].headers
-        assert got['x-aspenfold-tenant'] == 'one'
-        assert got['x-aspenfold-expect-instance'] == 'w-1'
-        assert 0 < int(got['x-aspenfold-deadline-remaining-ms']) <= 900
-        assert got['x-custom'] == 'kept'
-        assert 'authorization' not in got
+        received = rig.workers[0].requests[0].headers
+        assert received['x-aspenfold-tenant'] == 'one'
+        assert received['x-aspenfold-expect-instance'] == 'w-1'
+        assert 0 < int(received['x-aspenfold-deadline-remaining-ms']) <= 900
+        assert received['x-custom'] == 'kept'
+        assert 'authorization' not in received
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -101,21 +101,21 @@
 ) -> None:
     """Paths without a route get a 404, unknown keys a 401."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
         assert (await rig.request(path, key)).status == status
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_without_a_plan_requests_get_a_503() -> None:
     """A 404 or 401 would be wrong, and the process must not be ready."""
 
-    async def scene(rig: rigs.Rig) -> None:
-        answer = await rig.request('/safe/')
-        assert answer.status == 503
-        assert float(answer.headers['retry-after']) > 0
+    async def scenario(rig: rigs.Rig) -> None:
+        response = await rig.request('/safe/')
+        assert response.status == 503
+        assert float(response.headers['retry-after']) > 0
         assert not rig.gateway.ready
         rig.store.fault = rig.store.fault.NONE
         await rig.add_worker('w-1')
@@ -129,7 +129,7 @@
         rig.store.fault = rig.store.fault.UNAVAILABLE
         await rig.start()
         try:
-            await scene(rig)
+            await scenario(rig)
         finally:
             await rigs.close(rig)
 
@@ -139,19 +139,19 @@
 def test_a_failed_safe_request_is_retried_at_another_endpoint() -> None:
     """The caller must get only the complete response."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         bad, _ = await add_two_workers(
             rig, workers.server_error, workers.complete
         )
         # Either endpoint may be chosen first.
         for _ in range(64):
-            answer = await rig.request('/safe/')
+            response = await rig.request('/safe/')
             if bad.requests:
                 break
-        assert answer.status == 200
+        assert response.status == 200
         assert bad.requests
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -171,135 +171,135 @@
 ) -> None:
     """It must not be sent again or reported as not run."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await add_two_workers(rig, script, script)
-        answer = await rig.request('/unsafe/', body='x')
-        assert answer.status == status
-        assert 'retry-after' not in answer.headers
+        response = await rig.request('/unsafe/', body='x')
+        assert response.status == status
+        assert 'retry-after' not in response.headers
         assert run_count(rig) == 1
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_an_unsafe_request_is_retried_if_it_has_not_run() -> None:
     """A refused connection proves that it has not run."""
 
-    async def scene(rig: rigs.Rig) -> None:
-        shut, _ = await add_two_workers(
+    async def scenario(rig: rigs.Rig) -> None:
+        stopped, _ = await add_two_workers(
             rig, workers.complete, workers.complete
         )
-        await shut.stop()
+        await stopped.stop()
         for _ in range(6):
             assert (await rig.request('/unsafe/', body='x')).status == 200
-        assert not shut.requests
+        assert not stopped.requests
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_failed_connections_do_not_use_the_retry_budget() -> None:
     """Nothing was sent, so nothing is retried."""
 
-    async def scene(rig: rigs.Rig) -> None:
-        shut, _ = await add_two_workers(
+    async def scenario(rig: rigs.Rig) -> None:
+        stopped, _ = await add_two_workers(
             rig, workers.complete, workers.complete
         )
-        await shut.stop()
+        await stopped.stop()
         budget = rig.gateway._core.retry_budget('plain')
         while budget.take():
             pass
         for _ in range(6):
             assert (await rig.request('/unsafe/', body='x')).status == 200
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_attempts_are_limited_by_the_route() -> None:
     """With one attempt allowed, a refusal must not be retried."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await add_two_workers(rig, workers.at_capacity, workers.at_capacity)
-        answer = await rig.request('/once/', body='x')
-        assert answer.status == 503
-        assert float(answer.headers['retry-after']) > 0
+        response = await rig.request('/once/', body='x')
+        assert response.status == 503
+        assert float(response.headers['retry-after']) > 0
         assert sum(len(w.requests) for w in rig.workers) == 1
         assert run_count(rig) == 0
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_a_response_without_a_length_ends_with_its_connection() -> None:
     """The caller gets it with a length."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1', workers.no_content_length)
         await rig.wait_until_ready()
-        answer = await rig.request('/unsafe/', body='x')
-        assert (answer.status, answer.body) == (200, b'no length')
-        assert answer.complete
+        response = await rig.request('/unsafe/', body='x')
+        assert (response.status, response.body) == (200, b'no length')
+        assert response.complete
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_a_request_does_not_run_at_another_incarnation() -> None:
     """A 421 shows that another incarnation uses the address."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1')
         await rig.wait_until_ready()
         worker.name = 'w-9'
-        answer = await rig.request('/once/', body='x')
-        assert answer.status == 503
+        response = await rig.request('/once/', body='x')
+        assert response.status == 503
         assert run_count(rig) == 0
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
-def whole_stream(count: int = 10) -> bytes:
+def complete_stream(count: int = 10) -> bytes:
     """Return the bytes of a complete stream."""
     return b''.join(workers.event_bytes(n) for n in range(1, count + 1))
 
 
 def test_an_interrupted_stream_is_resumed_at_the_next_event() -> None:
-    """Events must not repeat, and the first response head is kept."""
+    """Events must not repeat, and only the first response head is used."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         broken, _ = await add_two_workers(
             rig, workers.stream_then_reset, workers.stream_events
         )
         # Either endpoint may be chosen first.
         for _ in range(64):
-            answer = await rig.request('/stream/', body='x')
-            assert answer.complete
-            assert answer.body == whole_stream()
+            response = await rig.request('/stream/', body='x')
+            assert response.complete
+            assert response.body == complete_stream()
             if broken.requests:
                 break
-        assert answer.headers[SEAL_HEADER] == 'seal-w-1'
+        assert response.headers[SEAL_HEADER] == 'seal-w-1'
         resumed = rig.workers[1].requests[-1].headers
         assert resumed['last-event-id'] == '4'
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_a_stream_that_cannot_be_resumed_is_aborted() -> None:
     """It must not run again or look complete."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await add_two_workers(
             rig, workers.stream_then_reset, workers.stream_then_reset
         )
-        answer = await rig.request('/song/', body='x')
-        assert answer.status == 200
-        assert not answer.complete
-        assert answer.body == whole_stream(4)
+        response = await rig.request('/song/', body='x')
+        assert response.status == 200
+        assert not response.complete
+        assert response.body == complete_stream(4)
         assert run_count(rig) == 1
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_events_are_forwarded_immediately() -> None:
     """The first event must arrive before the stream is complete."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.stream_events)
         worker.event_interval_s = 0.2
         await rig.wait_until_ready()
@@ -311,7 +311,7 @@
         assert workers.event_bytes(3) not in data
         writer.close()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -322,7 +322,7 @@
 ) -> None:
     """Both before the first event and during a stream."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', script)
         worker.event_interval_s = 0.1
         worker.event_count = 1000
@@ -333,41 +333,43 @@
         writer.close()
         await rigs.wait_until(lambda: worker.cancelled_count)
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_a_request_ends_at_the_timeout_of_the_route() -> None:
     """A request that may have run must get a 504."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.never_respond)
         await rig.wait_until_ready()
         assert (await rig.request('/short/')).status == 504
-        left = worker.requests[0].headers['x-aspenfold-deadline-remaining-ms']
-        assert int(left) <= 300
+        remaining_ms = worker.requests[0].headers[
+            'x-aspenfold-deadline-remaining-ms'
+        ]
+        assert int(remaining_ms) <= 300
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_an_unavailable_group_is_not_tried_twice() -> None:
     """The caller must be refused with a long Retry-After."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         for name in ('w-1', 'w-2'):
             await rig.add_worker(name, workers.group_unavailable, 'model')
         await rig.wait_until_ready()
-        answer = await rig.request('/model/', body='x')
-        assert answer.status == 503
-        assert float(answer.headers['retry-after']) > 1
+        response = await rig.request('/model/', body='x')
+        assert response.status == 503
+        assert float(response.headers['retry-after']) > 1
         assert sum(rigs.count_requests(w, '/model/') for w in rig.workers) == 1
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_a_first_request_is_not_queued_at_a_full_group() -> None:
     """It must be refused, and its retry sent to the group."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.never_respond, 'model')
         worker.slots = 1
         await rig.store.put(
@@ -377,23 +379,23 @@
         _, writer = await rig.connect()
         writer.write(rig.request_head('/model/')[1])
         await rigs.wait_until(lambda: worker.executions)
-        answer = await rig.request('/model/')
-        assert answer.status == 503
-        assert float(answer.headers['retry-after']) > 0
+        response = await rig.request('/model/')
+        assert response.status == 503
+        assert float(response.headers['retry-after']) > 0
         assert rigs.count_requests(worker, '/model/') == 1
         worker.script = workers.stream_events
-        left = {'X_Aspenfold_Deadline_Remaining_Ms': '3000'}
-        assert (await rig.request('/model/', **left)).status == 200
+        remaining = {'X_Aspenfold_Deadline_Remaining_Ms': '3000'}
+        assert (await rig.request('/model/', **remaining)).status == 200
         writer.close()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('how', ['draining', 'removed'])
 def test_an_endpoint_that_leaves_gets_no_more_requests(how: str) -> None:
     """Both after its record says draining and after its removal."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         leaving, _ = await add_two_workers(
             rig, workers.complete, workers.complete
         )
@@ -401,23 +403,23 @@
         if how == 'removed':
             await rig.store.remove(topic, 'w-1')
         else:
-            entry = leaving.store_record('plain', 'draining')
-            await rig.store.put(topic, 'w-1', entry)
+            record = leaving.store_record('plain', 'draining')
+            await rig.store.put(topic, 'w-1', record)
         await rigs.wait_until(lambda: rig.gateway.routable('plain') == 1)
-        # The state is kept while the store is unavailable.
+        # The endpoint stays unroutable while the store is unavailable.
         rig.store.fault = rig.store.fault.RESET
         before = len(leaving.requests)
         for _ in range(6):
             assert (await rig.request('/safe/')).status == 200
         assert len(leaving.requests) == before
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_only_newer_plans_are_applied() -> None:
     """Also if the history was trimmed or a read returns old records."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
         rig.store.start_stale_reads()
@@ -433,13 +435,13 @@
         assert (await rig.request('/safe/', '')).status == 401
         assert rig.gateway.plan_version == 6
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_an_invalid_plan_is_ignored() -> None:
     """The previous plan must stay in use and later ones be read."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
         await rig.write_plan({'version': 'nonsense'})
@@ -447,29 +449,29 @@
         await rigs.wait_until(lambda: rig.gateway.plan_version == 2)
         assert (await rig.request('/safe/')).status == 200
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_shutdown_completes_requests_in_flight() -> None:
     """The process is not ready any more, but streams must complete."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         worker = await rig.add_worker('w-1', workers.stream_events)
         worker.event_interval_s = 0.05
         await rig.wait_until_ready()
-        asking = asyncio.ensure_future(rig.request('/stream/', body='x'))
+        in_flight = asyncio.ensure_future(rig.request('/stream/', body='x'))
         await rigs.wait_until(lambda: worker.executions)
-        ending = asyncio.ensure_future(rig.gateway.drain())
+        draining = asyncio.ensure_future(rig.gateway.drain())
         await asyncio.sleep(0)
         assert not rig.gateway.ready
-        late = await rig.request('/stream/', body='x')
-        assert late.headers['connection'] == 'close'
-        answer = await asking
-        assert answer.complete
-        assert answer.body == whole_stream()
-        await ending
+        late_response = await rig.request('/stream/', body='x')
+        assert late_response.headers['connection'] == 'close'
+        response = await in_flight
+        assert response.complete
+        assert response.body == complete_stream()
+        await draining
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -498,20 +500,20 @@
 def test_invalid_requests_are_refused(data: bytes, status: int) -> None:
     """They must not reach an endpoint or affect other connections."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
         assert (await rig.send(data)).status == status
         assert (await rig.request('/safe/')).status == 200
         assert len(rig.workers[0].requests) == 1
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 def test_a_persistent_connection_serves_requests_in_order() -> None:
     """Also if they are pipelined."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await rig.add_worker('w-1')
         await rig.wait_until_ready()
         reader, writer = await rig.connect()
@@ -524,7 +526,7 @@
         assert order == sorted(order)
         writer.close()
 
-    run_scene(scene)
+    run_scenario(scenario)
 
 
 async def endless_event(
@@ -544,11 +546,11 @@
 def test_an_endless_event_is_not_buffered() -> None:
     """The stream must be aborted and not be resumed elsewhere."""
 
-    async def scene(rig: rigs.Rig) -> None:
+    async def scenario(rig: rigs.Rig) -> None:
         await add_two_workers(rig, endless_event, endless_event)
-        answer = await rig.request('/stream/')
-        assert answer.status == 200
-        assert not answer.complete
+        response = await rig.request('/stream/')
+        assert response.status == 200
+        assert not response.complete
         assert run_count(rig) == 1
         # The size limit must end the stream, not the route's timeout.
         metrics = rig.gateway._core.metrics.text().decode()
@@ -556,4 +558,4 @@
             'aspenfold_broken_streams_total{label="oversized"} 1.0' in metrics
         )
 
-    run_scene(scene)
+    run_scenario(scenario)
--- a/tests/functional/test_gateway_groups.py
+++ b/tests/functional/test_gateway_groups.py
@@ -1,4 +1,4 @@
-"""Tests of gateways whose group of ranks is unavailable."""
+"""Tests of gateways with a group of ranks, mostly during an outage."""
 
 import asyncio
 import random
@@ -13,8 +13,8 @@
 
 RANKS = 2
 
-RELEASE_S = 0.2
-"""Time the stand-in takes to release a pass, in seconds."""
+RELEASE_DELAY_S = 0.2
+"""Delay before a release of a held pass takes effect."""
 
 
 class SlowRelease(rank_group.RankGroup):
@@ -23,9 +23,9 @@
     async def execute_order(
         self, rank: int, message: dict[str, typing.Any]
     ) -> int | None:
-        """Apply an order; delay a release."""
+        """Execute an order; delay a release."""
         if rank_group.OPERATIONS[message['op']] is rank_protocol.Op.RELEASE:
-            await asyncio.sleep(RELEASE_S)
+            await asyncio.sleep(RELEASE_DELAY_S)
         return await super().execute_order(rank, message)
 
 
@@ -49,14 +49,14 @@
         )
         await worker.start()
         rig.workers.append(worker)
-        entry = worker.store_record('model')
-        await rig.store.put(rigs.endpoint_records.TOPIC, worker.name, entry)
+        record = worker.store_record('model')
+        await rig.store.put(rigs.endpoint_records.TOPIC, worker.name, record)
 
 
 async def unavailable_group(
     rig: rigs.Rig,
 ) -> tuple[workers.Worker, outage_module.Outage]:
-    """Add a group that was unavailable for most of the usual outage."""
+    """Add a group that has been unavailable for 4 s of an expected 4.7 s."""
     worker = await rig.add_worker('w-1', workers.group_unavailable, 'model')
     await rig.wait_until_ready()
     assert (await rig.request('/model/')).status == 503
@@ -73,7 +73,7 @@
         group = SlowRelease(size=RANKS, rng=random.Random(1))
         async with rigs.running_rig(plan()) as rig:
             await add_ranks(rig, group)
-            passing = asyncio.ensure_future(group.run())
+            running_group = asyncio.ensure_future(group.run())
             holder = group.simulation.ranks[0]
             await rigs.wait_until(lambda: holder.held_pass is not None)
             rig.store.fault = rig.store.fault.RESET
@@ -84,7 +84,7 @@
                 lambda: group.simulation.pass_count > before + 3
             )
             assert group.violation is None
-            passing.cancel()
+            running_group.cancel()
             group.stop()
 
     asyncio.run(run())
@@ -103,9 +103,9 @@
             assert not waiting.done()
             worker.script = workers.stream_events
             assert (await rig.request('/model/')).status == 200
-            answer = await waiting
-            assert answer.status == 200
-            assert answer.complete
+            response = await waiting
+            assert response.status == 200
+            assert response.complete
             assert not outage.is_ongoing
 
     asyncio.run(run())
@@ -117,9 +117,11 @@
     async def run() -> None:
         async with rigs.running_rig() as rig:
             worker, _ = await unavailable_group(rig)
-            answer = await rig.request('/model/', **rigs.deadline_header(3.0))
-            assert answer.status == 503
-            assert 'retry-after' in answer.headers
+            response = await rig.request(
+                '/model/', **rigs.deadline_header(3.0)
+            )
+            assert response.status == 503
+            assert 'retry-after' in response.headers
             assert worker.executions.total() == 0
 
     asyncio.run(run())
@@ -147,10 +149,10 @@
             assert not any(task.done() for task in waiting)
             worker.script = workers.stream_events
             assert (await rig.request('/model/')).status == 200
-            answers = [await task for task in waiting]
+            responses = [await task for task in waiting]
             # The budget of a new process allows one retry.
             assert rigs.count_requests(worker, '/model/') == 4 + 1 + 1
-            statuses = sorted(answer.status for answer in answers)
+            statuses = sorted(response.status for response in responses)
             assert statuses == [200, 503, 503, 503]
 
     asyncio.run(run())
@@ -161,7 +163,7 @@
 
     async def run() -> None:
         async with rigs.running_rig() as rig:
-            down = await rig.add_worker(
+            unavailable = await rig.add_worker(
                 'w-1', workers.group_unavailable, 'model'
             )
             await rig.add_worker('w-2', workers.stream_events, 'model')
@@ -171,9 +173,9 @@
                 endpoint = known.get(name)
                 assert endpoint is not None
                 endpoint.group = group
-            answers = [await rig.request('/model/') for _ in range(20)]
-            assert {answer.status for answer in answers} == {200}
-            assert rigs.count_requests(down, '/model/') == 1
+            responses = [await rig.request('/model/') for _ in range(20)]
+            assert {response.status for response in responses} == {200}
+            assert rigs.count_requests(unavailable, '/model/') == 1
             assert rig.gateway.outage('model', 'g-1').is_ongoing
             assert not rig.gateway.outage('model', 'g-2').is_ongoing
 
--- a/tests/functional/test_gateway_relay.py
+++ b/tests/functional/test_gateway_relay.py
@@ -122,8 +122,8 @@
                 f'{NETWORK}.1', port, local_addr=(f'{NETWORK}.77', 0)
             )
             writer.write(b'GET /news HTTP/1.1\r\nHost: x\r\n\r\n')
-            answer = await rigs.read_response(reader)
+            response = await rigs.read_response(reader)
             writer.close()
-            assert answer.status == 404
+            assert response.status == 404
 
     asyncio.run(run())
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -96,7 +96,7 @@
 def test_log_outage_stops_only_keyed_calls_without_ticket(
     deployment: launcher.Deployment, client: deployment_client.DeploymentClient
 ) -> None:
-    """Without the log, keyed calls need tickets; the rest must go on."""
+    """Without the log, keyed calls need tickets; others must succeed."""
     ticket = client.post(0, '/v1/tickets', {'service': 'till'})
     key = json.loads(ticket.body)['idempotency_key']
     deployment.set_faults('log', down=1)
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -33,7 +33,7 @@
 
 
 class UnresponsiveRank(rank_group.RankWorker):
-    """A rank that accepts requests and closes without an answer."""
+    """A rank that resets the connection of each request."""
 
     async def _handle(self, exchange: http11.Exchange) -> None:
         exchange.reset()
@@ -125,15 +125,15 @@
 class SlowRank(rank_group.RankWorker):
     """A rank that answers after a delay."""
 
-    asked = 0
+    request_count = 0
 
     async def _handle(self, exchange: http11.Exchange) -> None:
-        self.asked += 1
+        self.request_count += 1
         await asyncio.sleep(0.2)
         await super()._handle(exchange)
 
 
-def test_ending_agent_answers_requests_in_progress() -> None:
+def test_draining_agent_answers_requests_in_progress() -> None:
     """It also closes idle connections, on which calls would be lost."""
 
     async def run() -> None:
@@ -147,7 +147,7 @@
         call = asyncio.ensure_future(
             call_agent(port, engine_module.COUNTS_TARGET)
         )
-        await rigs.wait_until(lambda: rank.asked)
+        await rigs.wait_until(lambda: rank.request_count)
         await running_agent.drain()
         status, _ = await call
         assert status == 200
