--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -159,7 +159,7 @@
         return scenario.find_violations()
 
     violations = asyncio.run(run())
-    assert ('exited by itself' in violations) is not unhandled
+    assert ('exited without SIGTERM' in violations) is not unhandled
 
 
 def test_checker_reports_each_violation(
--- a/tests/soak/guarantees.py
+++ b/tests/soak/guarantees.py
@@ -229,7 +229,7 @@
             return
         if not process.sigterm_sent:
             self._add_violation(
-                f'{name} exited by itself: {process.exit_status}'
+                f'{name} exited without SIGTERM: {process.exit_status}'
             )
         elif process.exit_status != 0 and started:
             # Before the program serves, SIGTERM ends it with that signal.
