--- a/standins/aspenfold_standins/plain_service.py
+++ b/standins/aspenfold_standins/plain_service.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._runs: list[dict[str, typing.Any]] = []
+        self._executions: list[dict[str, typing.Any]] = []
         self._faults = json_server.Faults()
 
     def application(self) -> json_server.Application:
@@ -26,23 +26,23 @@
         app = json_server.Application()
         app.route('POST', 'faults', self._faults.handle_post)
         app.route('GET', 'record', self._record)
-        app.route('POST', '*', self._run)
+        app.route('POST', '*', self._execute)
         return app
 
     def _record(
         self, path: typing.Any, query: typing.Any, body: typing.Any
     ) -> typing.Any:
         with self._lock:
-            return {'runs': list(self._runs)}
+            return {'runs': list(self._executions)}
 
-    def _run(
+    def _execute(
         self, path: typing.Any, query: typing.Any, body: typing.Any
     ) -> typing.Any:
         headers = cherrypy.request.headers
         operation = cherrypy.request.path_info
         with self._lock:
-            number = len(self._runs) + 1
-            self._runs.append(
+            number = len(self._executions) + 1
+            self._executions.append(
                 {
                     'number': number,
                     'operation': operation,
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -1,4 +1,4 @@
-"""Applied changes are neither lost nor doubled by races and failures."""
+"""Races and failures neither lose a change nor apply it twice."""
 
 import datetime
 import json
@@ -80,16 +80,16 @@
 
 
 @pytest.mark.parametrize(
-    ('lost_responses', 'failed_appends'), [(1, 0), (2, 0), (0, 2)]
+    ('lost_answers', 'failed_appends'), [(1, 0), (2, 0), (0, 2)]
 )
 def test_append_errors_neither_lose_nor_double_a_change(
     log: operators.FlakyLog,
     tmp_path: pathlib.Path,
-    lost_responses: int,
+    lost_answers: int,
     failed_appends: int,
 ) -> None:
     """After an error the client looks for its record on the log."""
-    log.answers_to_lose = lost_responses
+    log.answers_to_lose = lost_answers
     log.appends_to_fail = failed_appends
     assert (
         run_apply(log, write_fleet(tmp_path, 'first'))
@@ -101,7 +101,7 @@
     assert len(accepted) == 1
 
 
-def test_lost_response_in_a_race_is_still_a_conflict(
+def test_lost_append_answer_in_a_race_is_still_a_conflict(
     log: operators.FlakyLog, tmp_path: pathlib.Path
 ) -> None:
     """The record was appended, but after the one of another operator."""
--- a/tests/unit/test_bounded_state.py
+++ b/tests/unit/test_bounded_state.py
@@ -14,15 +14,15 @@
 
 def test_group_machines_forget_finished_runs() -> None:
     """Leader and ranks keep only unfinished runs."""
-    world = simulated_group.SimulatedGroup(seed=1)
-    world.set_plan(5)
-    world.sim.run(20_000)
-    assert world.completed_steps > 3000
-    leader = world.agents[0].leader
+    group = simulated_group.SimulatedGroup(seed=1)
+    group.set_plan(5)
+    group.sim.run(20_000)
+    assert group.completed_steps > 3000
+    leader = group.agents[0].leader
     assert leader is not None
     for member in leader._members.values():
         assert len(member.runs) < MAX_UNFINISHED_RUNS
-    for agent in world.agents:
+    for agent in group.agents:
         assert len(agent.machine._ordered_runs) < MAX_UNFINISHED_RUNS
 
 
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -18,8 +18,8 @@
 """Choices of one prompt over all sets."""
 
 
-class Group:
-    """Counts of a rank, and the estimate made from them."""
+class EstimatorRig:
+    """The counts of one rank, and the estimator that reads them."""
 
     def __init__(self, *, sets: int, experts: int) -> None:
         self.estimator = demand_estimator.DemandEstimator(
@@ -51,36 +51,36 @@
 
 def test_demand_follows_the_newest_counts() -> None:
     """Older counts must not outweigh newer ones."""
-    group = Group(sets=1, experts=4)
-    assert group.estimator.loads_by_set() is None
+    rig = EstimatorRig(sets=1, experts=4)
+    assert rig.estimator.loads_by_set() is None
     for chosen in (1, 1, 1, 2, 2, 2):
-        group.now += SECOND
-        group.choose(chosen, 40_000)
-        group.sample()
-    loads_by_set = group.loads_by_set()
+        rig.now += SECOND
+        rig.choose(chosen, 40_000)
+        rig.sample()
+    loads_by_set = rig.loads_by_set()
     assert loads_by_set[0][2] > 0.7
     assert sum(loads_by_set[0]) == pytest.approx(1.0)
 
 
 def test_demand_outlasts_an_outage() -> None:
     """Demand must be known at once when the group recovers."""
-    group = Group(sets=1, experts=4)
+    rig = EstimatorRig(sets=1, experts=4)
     for _ in range(2):
-        group.now += SECOND
-        group.choose(1, 50_000)
-        group.sample()
+        rig.now += SECOND
+        rig.choose(1, 50_000)
+        rig.sample()
     for _ in range(20):
-        group.now += SECOND
-        group.sample()
-    group.epoch, group.counts = 2, [0, 0, 0, 0]
-    group.sample()
-    assert group.loads_by_set()[0][1] > 0.7
+        rig.now += SECOND
+        rig.sample()
+    rig.epoch, rig.counts = 2, [0, 0, 0, 0]
+    rig.sample()
+    assert rig.loads_by_set()[0][1] > 0.7
     # New counts soon outweigh the ones from before the outage.
     for _ in range(3):
-        group.now += SECOND
-        group.choose(2, 30_000)
-        group.sample()
-    assert group.loads_by_set()[0][2] > 0.6
+        rig.now += SECOND
+        rig.choose(2, 30_000)
+        rig.sample()
+    assert rig.loads_by_set()[0][2] > 0.6
 
 
 def random_popularity(rng: random.Random) -> list[list[float]]:
@@ -95,7 +95,7 @@
 
 
 def read_prompt(
-    group: Group, common: list[list[float]], rng: random.Random
+    rig: EstimatorRig, common: list[list[float]], rng: random.Random
 ) -> None:
     """Count the choices of a prompt: 70% common to all, 30% its own."""
     own = random_popularity(rng)
@@ -105,7 +105,7 @@
                 0.7 * common[set_index][expert] + 0.3 * own[set_index][expert]
             )
             choices = int(weight * CHOICES / SETS)
-            group.choose(set_index * EXPERTS + expert, choices)
+            rig.choose(set_index * EXPERTS + expert, choices)
 
 
 def error(loads_by_set: list[list[float]], common: list[list[float]]) -> float:
@@ -121,29 +121,29 @@
     """Counts from before a shift must not distort the estimate after it."""
     for seed in range(20):
         rng = random.Random(seed)
-        group = Group(sets=SETS, experts=EXPERTS)
+        rig = EstimatorRig(sets=SETS, experts=EXPERTS)
         before, after = random_popularity(rng), random_popularity(rng)
         for _ in range(40):
-            group.now += 36 * MS
-            read_prompt(group, before, rng)
-            group.sample()
-        assert group.estimator.shift_count == 0, seed
-        assert error(group.loads_by_set(), before) < 0.05, seed
+            rig.now += 36 * MS
+            read_prompt(rig, before, rng)
+            rig.sample()
+        assert rig.estimator.shift_count == 0, seed
+        assert error(rig.loads_by_set(), before) < 0.05, seed
         for _ in range(3):
-            group.now += 36 * MS
-            read_prompt(group, after, rng)
-            group.sample()
-        assert group.estimator.shift_count >= 1, seed
-        assert error(group.loads_by_set(), after) < 0.06, seed
+            rig.now += 36 * MS
+            read_prompt(rig, after, rng)
+            rig.sample()
+        assert rig.estimator.shift_count >= 1, seed
+        assert error(rig.loads_by_set(), after) < 0.06, seed
 
 
 def test_variation_between_prompts_is_no_shift() -> None:
     """Variation between prompts, or a pause, must not count as a shift."""
     rng = random.Random(5)
-    group = Group(sets=SETS, experts=EXPERTS)
+    rig = EstimatorRig(sets=SETS, experts=EXPERTS)
     common = random_popularity(rng)
     for prompt_number in range(200):
-        group.now += (2000 if prompt_number % 50 == 0 else 36) * MS
-        read_prompt(group, common, rng)
-        group.sample()
-    assert group.estimator.shift_count == 0
+        rig.now += (2000 if prompt_number % 50 == 0 else 36) * MS
+        read_prompt(rig, common, rng)
+        rig.sample()
+    assert rig.estimator.shift_count == 0
--- a/tests/unit/test_endpoint_client.py
+++ b/tests/unit/test_endpoint_client.py
@@ -93,7 +93,7 @@
         ('job', True, Code.FATE_UNKNOWN),
     ],
 )
-def test_failure_code_tells_whether_the_request_may_have_run(
+def test_failure_code_shows_whether_the_request_may_have_run(
     operation: str, listening: bool, code: Code
 ) -> None:
     """Only a request that was never sent is reported as not run."""
--- a/tests/unit/test_gateway_admission.py
+++ b/tests/unit/test_gateway_admission.py
@@ -68,10 +68,10 @@
 ) -> None:
     """New streams must not take the slots of retries after an outage."""
     since = None if since_s is None else since_s * SECOND
-    found = admission.should_refuse(
+    result = admission.should_refuse(
         route(), remaining_s * SECOND, ranks(*in_flight), since
     )
-    assert found is refused
+    assert result is refused
 
 
 @pytest.mark.parametrize(
@@ -90,21 +90,21 @@
     in_flight: tuple[int, ...], remaining_s: float, refused: bool
 ) -> None:
     """Streams must not queue at a full group; retries are always sent."""
-    found = admission.should_refuse(
+    result = admission.should_refuse(
         route(), remaining_s * SECOND, ranks(*in_flight)
     )
-    assert found is refused
+    assert result is refused
 
 
 @pytest.mark.parametrize('kind', [plan.Kind.SAFE, plan.Kind.UNSAFE])
 def test_requests_without_a_stream_are_not_refused(kind: plan.Kind) -> None:
-    """Only streams may be refused here."""
+    """Full groups must refuse only streams."""
     assert not admission.should_refuse(route(kind), 8 * SECOND, ranks(9))
 
 
 def test_requests_of_other_gateways_use_slots() -> None:
     """A group filled by other gateways must count as full."""
-    found = ranks(1)
-    assert not admission.is_full(found)
-    found[0].peer_in_flight = 3
-    assert admission.is_full(found)
+    endpoints = ranks(1)
+    assert not admission.is_full(endpoints)
+    endpoints[0].peer_in_flight = 3
+    assert admission.is_full(endpoints)
--- a/tests/unit/test_gateway_outage.py
+++ b/tests/unit/test_gateway_outage.py
@@ -34,13 +34,13 @@
     duration: datetime.timedelta,
 ) -> tuple[outage.Outage, datetime.datetime]:
     """Return an outage that started ``duration`` ago, and the time."""
-    found = outage.Outage()
-    assert found.record_refusal(clock.EPOCH)
-    return found, clock.EPOCH + duration
+    group_outage = outage.Outage()
+    assert group_outage.record_refusal(clock.EPOCH)
+    return group_outage, clock.EPOCH + duration
 
 
 def wait(
-    found: outage.Outage,
+    group_outage: outage.Outage,
     now: datetime.datetime,
     *,
     age: datetime.timedelta = 0 * MS,
@@ -48,15 +48,17 @@
     route: plan.Route = ROUTE,
 ) -> datetime.timedelta:
     """Return how long a request may wait."""
-    return found.wait_limit(route, age=age, remaining=remaining, now=now)
+    return group_outage.wait_limit(
+        route, age=age, remaining=remaining, now=now
+    )
 
 
 def test_only_streams_wait_and_only_during_an_outage() -> None:
     """Other requests must not be delayed."""
     assert not wait(outage.Outage(), clock.EPOCH)
-    found, now = ongoing_outage(4 * SECOND)
+    group_outage, now = ongoing_outage(4 * SECOND)
     plain = dataclasses.replace(ROUTE, kind=plan.Kind.SAFE)
-    assert not wait(found, now, remaining=SECOND, route=plain)
+    assert not wait(group_outage, now, remaining=SECOND, route=plain)
 
 
 def test_a_retry_waits_only_if_the_recovery_may_be_near() -> None:
@@ -75,10 +77,10 @@
     late, now = ongoing_outage(2 * SECOND)
     assert not wait(late, now)
     fresh, now = ongoing_outage(0 * SECOND)
-    found = wait(fresh, now)
-    assert 0 * MS < found < MAX_WAIT
+    wait_time = wait(fresh, now)
+    assert 0 * MS < wait_time < MAX_WAIT
     # A retry after that wait can wait until the expected recovery.
-    retry_at = found + (TIMEOUT - found) / outage.RETRY_DELAY_DIVISOR
+    retry_at = wait_time + (TIMEOUT - wait_time) / outage.RETRY_DELAY_DIVISOR
     latest = retry_at + MAX_WAIT
     assert (
         abs(
@@ -103,14 +105,16 @@
 
 def test_a_recovery_before_the_outage_is_ignored() -> None:
     """A late peer update must not end a newer outage."""
-    found, now = ongoing_outage(SECOND)
-    assert not found.record_peer_recovery(2 * SECOND, now)
-    assert found.is_ongoing
-    assert found.record_peer_recovery(100 * MS, now)
-    assert not found.is_ongoing
-    assert found.recent_recovery_age(now) == 0 * MS
+    group_outage, now = ongoing_outage(SECOND)
+    assert not group_outage.record_peer_recovery(2 * SECOND, now)
+    assert group_outage.is_ongoing
+    assert group_outage.record_peer_recovery(100 * MS, now)
+    assert not group_outage.is_ongoing
+    assert group_outage.recent_recovery_age(now) == 0 * MS
     assert (
-        found.recent_recovery_age(now + outage.RECOVERY_UPDATE_DURATION + MS)
+        group_outage.recent_recovery_age(
+            now + outage.RECOVERY_UPDATE_DURATION + MS
+        )
         is None
     )
 
@@ -119,11 +123,13 @@
     """They must not wait beyond the recovery or their limit."""
 
     async def run() -> None:
-        found, now = ongoing_outage(SECOND)
-        assert not await found.wait_for_recovery(10 * MS)
-        waiting = asyncio.ensure_future(found.wait_for_recovery(SECOND * 30))
+        group_outage, now = ongoing_outage(SECOND)
+        assert not await group_outage.wait_for_recovery(10 * MS)
+        waiting = asyncio.ensure_future(
+            group_outage.wait_for_recovery(SECOND * 30)
+        )
         await asyncio.sleep(0)
-        assert found.record_recovery(now)
+        assert group_outage.record_recovery(now)
         assert await waiting
 
     asyncio.run(run())
--- a/tests/unit/test_gateway_outcomes.py
+++ b/tests/unit/test_gateway_outcomes.py
@@ -51,7 +51,7 @@
             continue
         if ran and sent == 0:
             continue
-        found = history(
+        request_history = history(
             kind,
             resumable,
             attempts_sent=sent,
@@ -59,51 +59,54 @@
             may_have_run=ran,
             head_delivered=head,
         )
-        all_cases.append((found, result, budget))
+        all_cases.append((request_history, result, budget))
     return all_cases
 
 
 def test_a_request_that_may_have_run_is_retried_only_if_repeatable() -> None:
     """Unsafe requests must not run twice."""
-    for found, result, budget in cases():
-        step = outcome.next_step(found, result, has_budget=budget)
-        if step is Step.RETRY and found.may_have_run:
-            assert found.route.repeatable
+    for request_history, result, budget in cases():
+        step = outcome.next_step(request_history, result, has_budget=budget)
+        if step is Step.RETRY and request_history.may_have_run:
+            assert request_history.route.repeatable
 
 
 def test_only_requests_that_have_not_run_are_refused() -> None:
     """A refusal must not hide that a request may have run."""
-    for found, result, budget in cases():
-        step = outcome.next_step(found, result, has_budget=budget)
+    for request_history, result, budget in cases():
+        step = outcome.next_step(request_history, result, has_budget=budget)
         if step is Step.REFUSE:
-            assert not found.may_have_run
+            assert not request_history.may_have_run
             assert result in outcome.NOT_RUN
 
 
 def test_attempts_and_retry_budget_limit_retries() -> None:
     """No result may cause unlimited retries."""
-    for found, result, budget in cases():
-        step = outcome.next_step(found, result, has_budget=budget)
+    for request_history, result, budget in cases():
+        step = outcome.next_step(request_history, result, has_budget=budget)
         if step is Step.RETRY:
             assert budget
-            assert found.attempts_sent < found.route.max_attempts
+            assert (
+                request_history.attempts_sent
+                < request_history.route.max_attempts
+            )
 
 
 def test_a_started_stream_is_resumed_or_aborted() -> None:
     """The caller must not get a second response head."""
-    for found, result, budget in cases():
-        if not found.head_delivered or result is Result.ANSWERED:
+    for request_history, result, budget in cases():
+        if not request_history.head_delivered or result is Result.ANSWERED:
             continue
-        step = outcome.next_step(found, result, has_budget=budget)
+        step = outcome.next_step(request_history, result, has_budget=budget)
         assert step in (Step.RETRY, Step.ABORT)
 
 
 def test_a_complete_response_is_always_delivered() -> None:
     """A complete response must not be dropped."""
-    for found, result, budget in cases():
+    for request_history, result, budget in cases():
         if result is Result.ANSWERED:
             assert (
-                outcome.next_step(found, result, has_budget=budget)
+                outcome.next_step(request_history, result, has_budget=budget)
                 is Step.DELIVER
             )
 
@@ -113,15 +116,15 @@
 )
 def test_some_results_are_not_retried(result: Result) -> None:
     """A retry could not succeed after them."""
-    found = history(plan.Kind.SAFE, False, attempts_sent=1)
-    step = outcome.next_step(found, result, has_budget=True)
+    request_history = history(plan.Kind.SAFE, False, attempts_sent=1)
+    step = outcome.next_step(request_history, result, has_budget=True)
     assert step is not Step.RETRY
 
 
 def test_failed_connections_are_limited() -> None:
     """Failed connections do not count as attempts, so they need a limit."""
-    found = history(
+    request_history = history(
         plan.Kind.UNSAFE, False, unreachable=outcome.MAX_UNREACHABLE
     )
-    step = outcome.next_step(found, Result.NOT_SENT, has_budget=True)
+    step = outcome.next_step(request_history, Result.NOT_SENT, has_budget=True)
     assert step is Step.REFUSE
--- a/tests/unit/test_gateway_parts.py
+++ b/tests/unit/test_gateway_parts.py
@@ -91,10 +91,10 @@
         {'name': 'ab', 'host': 'h.example', 'path_prefix': '/a/b/'},
         {'name': 'other', 'host': 'o.example', 'path_prefix': '/a/b/c/'},
     ]
-    found = plan_index.PlanIndex(plan=config.decode(plan_of(routes)))
+    index = plan_index.PlanIndex(plan=config.decode(plan_of(routes)))
 
     def name(host: str, path: str) -> str | None:
-        route = found.find_route(host, path)
+        route = index.find_route(host, path)
         return route.name if route else None
 
     assert name('h.example', '/a/b/c/d') == 'ab'
@@ -106,13 +106,13 @@
 
 def test_an_organisation_is_found_by_each_of_its_keys() -> None:
     """Parts of keys or keys in another case must not match."""
-    found = plan_index.PlanIndex(plan=config.decode(plan_of([])))
+    index = plan_index.PlanIndex(plan=config.decode(plan_of([])))
     for key in (b'k-1', b'k-2'):
-        organisation = found.find_organisation(key)
+        organisation = index.find_organisation(key)
         assert organisation is not None
         assert organisation.name == 'one'
     for key in (b'', b'k-', b'k-11', b'K-1'):
-        assert found.find_organisation(key) is None
+        assert index.find_organisation(key) is None
 
 
 @pytest.mark.parametrize(
@@ -160,28 +160,28 @@
 
 def test_only_command_line_modules_import_the_platform() -> None:
     """Other modules must not depend on the platform."""
-    found = set()
+    importers = set()
     for path in SOURCES.rglob('*.py'):
         if path.parent.name == 'platform':
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             module = getattr(node, 'module', None) or ''
             if module.startswith('aspenfold.platform'):
-                found.add(path.relative_to(SOURCES).as_posix())
+                importers.add(path.relative_to(SOURCES).as_posix())
     allowed = {'cli/gateway.py', 'cli/plan.py', 'cli/rank_agent.py'}
-    assert found == allowed
+    assert importers == allowed
 
 
 def test_wire_names_appear_only_in_the_platform_package() -> None:
     """Header names and paths of the platform belong there."""
     names = ('x-aspenfold-', '/api/', 'fencing_token', 'path_prefix"')
-    found = [
+    modules_with_names = [
         path.relative_to(SOURCES).as_posix()
         for path in SOURCES.rglob('*.py')
         if path.parent.name != 'platform'
         and any(name in path.read_text().lower() for name in names)
     ]
-    assert found == []
+    assert modules_with_names == []
 
 
 @hypothesis.given(
@@ -284,7 +284,7 @@
 
 
 def listing_of(name: str) -> directory.Listing:
-    """Return the list entry of an endpoint."""
+    """Return the listing of an endpoint."""
     return directory.Listing(
         name=name,
         service='s',
@@ -407,8 +407,8 @@
 
 def endpoint_of(zone: str, in_flight: int) -> directory.Endpoint:
     """Return an endpoint with a capacity of four."""
-    found = dataclasses.replace(listing_of(f'{zone}-{in_flight}'), zone=zone)
-    return directory.Endpoint(listing=found, in_flight=in_flight)
+    listing = dataclasses.replace(listing_of(f'{zone}-{in_flight}'), zone=zone)
+    return directory.Endpoint(listing=listing, in_flight=in_flight)
 
 
 def test_requests_stay_in_their_zone_unless_it_is_full() -> None:
--- a/tests/unit/test_group_monitor.py
+++ b/tests/unit/test_group_monitor.py
@@ -40,7 +40,7 @@
 
 
 class FakeRanks:
-    """Returns scripted reports; keeps the names of the endpoints called."""
+    """Returns scripted reports; records the names of called endpoints."""
 
     def __init__(self) -> None:
         self.reports: dict[str, rank_protocol.Report] = {}
@@ -114,9 +114,9 @@
 
 def endpoint_named(core: FakeCore, name: str) -> directory.Endpoint:
     """Return the endpoint with this name."""
-    found = core.directory.get(name)
-    assert found is not None
-    return found
+    endpoint = core.directory.get(name)
+    assert endpoint is not None
+    return endpoint
 
 
 def test_each_rank_is_asked_for_its_group_once() -> None:
@@ -149,7 +149,7 @@
 
 
 def test_available_groups_are_not_polled() -> None:
-    """Their recovery is not waited for, so that calls would be wasted."""
+    """No request waits for their recovery, so polls would be wasted."""
     core, client, monitor = monitored_groups('g', 'h')
     for name in ('e-0', 'e-1'):
         endpoint_named(core, name).group = 'g'
--- a/tests/unit/test_rank_client.py
+++ b/tests/unit/test_rank_client.py
@@ -16,8 +16,8 @@
 from aspenfold._internal.gateway import sampling
 from aspenfold._internal.kernel import clock as clock_module
 
-AGENT = 7321
-ENGINE = 8080
+AGENT_PORT = 7321
+ENGINE_PORT = 8080
 
 ORDER = rank_protocol.Order(
     rank=0,
@@ -63,7 +63,7 @@
 
 
 class FakeEngine:
-    """Answers at the ports that are up; keeps the ports called."""
+    """Answers at the ports that are up; records the ports called."""
 
     def __init__(self, *up: int) -> None:
         self.up = set(up)
@@ -99,18 +99,18 @@
         return rank_protocol.Answer.ACCEPTED
 
 
-FROZEN_S = 5.0
+FROZEN_AGENT_DELAY_S = 5.0
 
 
-class FrozenAgent(FakeEngine):
+class EngineWithFrozenAgent(FakeEngine):
     """An engine whose agent is frozen."""
 
     async def order(
         self, host: str, port: int, order: rank_protocol.Order
     ) -> rank_protocol.Answer:
         """Accept an order; through the agent only after a long time."""
-        if port == AGENT:
-            await asyncio.sleep(FROZEN_S)
+        if port == AGENT_PORT:
+            await asyncio.sleep(FROZEN_AGENT_DELAY_S)
         return await super().order(host, port, order)
 
 
@@ -121,7 +121,7 @@
             name=name,
             service='s',
             host=f'10.0.0.{name}',
-            port=ENGINE,
+            port=ENGINE_PORT,
             zone=zone,
             capacity=4,
             draining=False,
@@ -130,7 +130,7 @@
 
 
 def client_and_clock(
-    engine: FakeEngine, agent_port: int = AGENT
+    engine: FakeEngine, agent_port: int = AGENT_PORT
 ) -> tuple[rank_client.RankClient, FakeClock]:
     """Return a client and its clock."""
     clock = FakeClock()
@@ -142,37 +142,37 @@
 
 def test_agent_is_called_if_configured() -> None:
     """Without a configured port, the engine itself is called."""
-    engine = FakeEngine(AGENT, ENGINE)
+    engine = FakeEngine(AGENT_PORT, ENGINE_PORT)
     client, _ = client_and_clock(engine)
     assert asyncio.run(client.counts(endpoint('1'))) is not None
-    assert engine.called == [AGENT]
+    assert engine.called == [AGENT_PORT]
     client, _ = client_and_clock(engine, agent_port=0)
     assert asyncio.run(client.counts(endpoint('1'))) is not None
-    assert engine.called == [AGENT, ENGINE]
+    assert engine.called == [AGENT_PORT, ENGINE_PORT]
 
 
 def test_agent_without_answer_is_skipped_for_a_while() -> None:
     """Each call to it would take a timeout."""
-    engine = FakeEngine(ENGINE)
+    engine = FakeEngine(ENGINE_PORT)
     client, clock = client_and_clock(engine)
     for _ in range(2):
         assert asyncio.run(client.counts(endpoint('1'))) is not None
-    assert engine.called == [AGENT, ENGINE, ENGINE]
+    assert engine.called == [AGENT_PORT, ENGINE_PORT, ENGINE_PORT]
     clock.time += rank_client.AGENT_RETRY_DELAY
-    engine.up.add(AGENT)
+    engine.up.add(AGENT_PORT)
     assert asyncio.run(client.counts(endpoint('1'))) is not None
-    assert engine.called[3:] == [AGENT]
+    assert engine.called[3:] == [AGENT_PORT]
 
 
 def test_agent_only_counts_never_call_the_engine() -> None:
     """Each direct call costs money."""
-    engine = FakeEngine(ENGINE)
+    engine = FakeEngine(ENGINE_PORT)
     client, _ = client_and_clock(engine)
     for _ in range(2):
         assert (
             asyncio.run(client.counts(endpoint('1'), agent_only=True)) is None
         )
-    assert engine.called == [AGENT]
+    assert engine.called == [AGENT_PORT]
 
 
 @pytest.mark.parametrize(
@@ -188,55 +188,55 @@
     op: rank_protocol.Op,
 ) -> None:
     """A frozen agent would block the group."""
-    engine = FrozenAgent(AGENT, ENGINE)
+    engine = EngineWithFrozenAgent(AGENT_PORT, ENGINE_PORT)
     client, _ = client_and_clock(engine)
     order = dataclasses.replace(ORDER, op=op, step=3)
     answer = asyncio.run(client.order(endpoint('1'), order))
     assert answer is rank_protocol.Answer.ACCEPTED
-    assert engine.called == [ENGINE]
+    assert engine.called == [ENGINE_PORT]
 
 
 def test_order_to_copy_is_sent_once_through_the_agent() -> None:
     """Without agents it goes to the engine itself."""
-    engine = FakeEngine(AGENT, ENGINE)
+    engine = FakeEngine(AGENT_PORT, ENGINE_PORT)
     client, _ = client_and_clock(engine)
     answer = asyncio.run(client.order(endpoint('1'), ORDER))
     assert answer is rank_protocol.Answer.ACCEPTED
-    assert engine.called == [AGENT]
+    assert engine.called == [AGENT_PORT]
     client, _ = client_and_clock(engine, agent_port=0)
     asyncio.run(client.order(endpoint('1'), ORDER))
-    assert engine.called == [AGENT, ENGINE]
+    assert engine.called == [AGENT_PORT, ENGINE_PORT]
 
 
 def test_order_after_one_without_answer_goes_to_the_engine() -> None:
     """Other calls still go through the agent."""
-    engine = FakeEngine(ENGINE)
+    engine = FakeEngine(ENGINE_PORT)
     client, clock = client_and_clock(engine)
     answer = asyncio.run(client.order(endpoint('1'), ORDER))
     assert answer is rank_protocol.Answer.NONE
-    assert engine.called == [AGENT]
-    engine.up.add(AGENT)
+    assert engine.called == [AGENT_PORT]
+    engine.up.add(AGENT_PORT)
     answer = asyncio.run(client.order(endpoint('1'), ORDER))
     assert answer is rank_protocol.Answer.ACCEPTED
     assert asyncio.run(client.counts(endpoint('1'))) is not None
-    assert engine.called == [AGENT, ENGINE, AGENT]
+    assert engine.called == [AGENT_PORT, ENGINE_PORT, AGENT_PORT]
     clock.time += rank_client.AGENT_RETRY_DELAY
     asyncio.run(client.order(endpoint('1'), ORDER))
-    assert engine.called[3:] == [AGENT]
+    assert engine.called[3:] == [AGENT_PORT]
 
 
 def test_frozen_agent_delays_order_only_by_its_timeout() -> None:
     """The map change of the whole group waits for each rank's copies."""
 
     async def run() -> None:
-        engine = FrozenAgent(AGENT, ENGINE)
+        engine = EngineWithFrozenAgent(AGENT_PORT, ENGINE_PORT)
         client, _ = client_and_clock(engine)
         loop = asyncio.get_running_loop()
         started = loop.time()
         answer = await client.order(endpoint('1'), ORDER)
         assert answer is rank_protocol.Answer.NONE
         timeout = rank_client.AGENT_ORDER_TIMEOUT.total_seconds()
-        assert timeout <= loop.time() - started < FROZEN_S
+        assert timeout <= loop.time() - started < FROZEN_AGENT_DELAY_S
         answer = await client.order(endpoint('1'), ORDER)
         assert answer is rank_protocol.Answer.ACCEPTED
 
@@ -245,7 +245,7 @@
 
 def test_only_reports_through_an_agent_are_fresh() -> None:
     """Engines send delayed reports to other hosts."""
-    engine = FakeEngine(AGENT, ENGINE)
+    engine = FakeEngine(AGENT_PORT, ENGINE_PORT)
     client, _ = client_and_clock(engine)
     report = asyncio.run(client.report(endpoint('1')))
     assert report is not None
@@ -268,8 +268,8 @@
 
     assert choose('b', True, 0) == choose('b', True, 1) == [1, 3]
     assert choose('c', True, 0) == [0, 1, 2, 3]
-    paid = [choose('b', False, poll) for poll in range(4)]
-    assert paid == [[0], [1], [0], [1]]
+    direct_reads = [choose('b', False, poll) for poll in range(4)]
+    assert direct_reads == [[0], [1], [0], [1]]
     all_zones = sampling.choose_ranks(
         group, zone='b', agent_only=True, poll=0, all_zones=True
     )
@@ -283,7 +283,7 @@
     assert sampling.count_interval(group, 'a') == sampling.GROUP_COUNT_INTERVAL
     read = sampling.choose_ranks(group, zone='a', agent_only=True, poll=0)
     assert len(read) == sampling.MAX_REMOTE_ZONE_RANKS
-    engine = FakeEngine(AGENT, ENGINE)
+    engine = FakeEngine(AGENT_PORT, ENGINE_PORT)
     client, clock = client_and_clock(engine)
     planner = map_planner.GroupMapPlanner(
         service='s', shape=SHAPE, clock=clock
@@ -300,4 +300,6 @@
 
     asyncio.run(run())
     # Ten reads in three seconds.
-    assert engine.called.count(AGENT) == 10 * sampling.MAX_REMOTE_ZONE_RANKS
+    assert (
+        engine.called.count(AGENT_PORT) == 10 * sampling.MAX_REMOTE_ZONE_RANKS
+    )
--- a/tests/unit/test_staged_plans.py
+++ b/tests/unit/test_staged_plans.py
@@ -19,7 +19,7 @@
 
 
 def initial_placements() -> list[planner.Placement]:
-    """Return map 0, which assigns experts to ranks in turn."""
+    """Return map 0, which assigns experts round-robin."""
     weights = [list(range(rank, EXPERTS, RANKS)) for rank in range(RANKS)]
     return [[list(experts) for experts in weights] for _ in range(SETS)]
 
--- a/tests/unit/test_store_feeds.py
+++ b/tests/unit/test_store_feeds.py
@@ -119,8 +119,8 @@
     def routable(self) -> list[str]:
         """Return the names of endpoints that may get requests."""
         now = self.clock.now()
-        found = self.consumer.directory.routable('s', now)
-        return sorted(e.name for e in found)
+        endpoints = self.consumer.directory.routable('s', now)
+        return sorted(e.name for e in endpoints)
 
 
 def decode_plan(value: bytes) -> plan.Plan:
@@ -151,11 +151,11 @@
     *records: tuple[int, str, bytes | None], end: int | None = None
 ) -> ports.Page:
     """Return a page of records."""
-    found = tuple(
+    page_records = tuple(
         ports.Record(offset=o, key=k, value=v) for o, k, v in records
     )
     last = max((o for o, _, _ in records), default=-1) + 1
-    return ports.Page(records=found, end=last if end is None else end)
+    return ports.Page(records=page_records, end=last if end is None else end)
 
 
 def harness_with_endpoints() -> FeedsHarness:
@@ -187,7 +187,7 @@
     assert harness.routable() == ['b']
 
 
-def test_entry_that_expired_in_store_outage_stays_routable() -> None:
+def test_endpoint_expired_during_store_outage_stays_routable() -> None:
     """A store outage must not make all live endpoints unroutable."""
     harness = harness_with_endpoints()
     harness.read_list(None)
@@ -203,7 +203,7 @@
     assert harness.routable() == ['a', 'b']
 
 
-def test_entry_still_missing_after_store_outage_is_removed() -> None:
+def test_endpoint_still_missing_after_store_outage_is_removed() -> None:
     """Requests would be sent to a dead endpoint."""
     harness = harness_with_endpoints()
     harness.read_list(None)
@@ -245,7 +245,7 @@
 
 def versions(harness: FeedsHarness) -> list[int]:
     """Return the versions adopted."""
-    return [found.version for found in harness.consumer.plans]
+    return [adopted.version for adopted in harness.consumer.plans]
 
 
 def test_plans_are_adopted_once_in_order() -> None:
@@ -301,11 +301,11 @@
 
 def relayed(*records: tuple[int, str, bytes | None], **more: object) -> bytes:
     """Return a line of relayed endpoint records."""
-    found = page(*records)
+    source = page(*records)
     line = relay.RelayedRecords(
         topic='endpoints',
-        end=typing.cast(int, more.pop('end', found.end)),
-        records=found.records,
+        end=typing.cast(int, more.pop('end', source.end)),
+        records=source.records,
         **more,  # type: ignore[arg-type]
     )
     return relay.encode(line)
--- a/tests/unit/test_switch.py
+++ b/tests/unit/test_switch.py
@@ -71,10 +71,10 @@
 def test_the_next_pass_is_held_if_reports_are_fresh() -> None:
     """With fresh reports a switch must not be delayed by several passes."""
     rig = SwitchRig()
-    held = rig.prepared(FRESH)
-    assert step_of(held) == REPORT.step + 1
+    hold = rig.prepared(FRESH)
+    assert step_of(hold) == REPORT.step + 1
     refused = rig.switch.on_answer(
-        held[0],  # type: ignore[arg-type]
+        hold[0],  # type: ignore[arg-type]
         rank_protocol.Answer.REFUSED,
         rig.now,
     )
