--- a/src/aspenfold/_internal/calls/__init__.py
+++ b/src/aspenfold/_internal/calls/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of the calls at an entry host, without I/O."""
+"""State machines of the calls at an entry, without I/O."""
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -37,7 +37,10 @@
 
 
 class State(enum.Enum):
-    """States of a call's flow."""
+    """States of a call's flow.
+
+    QUERYING waits to query the outcome of a lost attempt, WAITING to retry.
+    """
 
     NEW = 'new'
     CLAIMING = 'claiming'
@@ -48,7 +51,12 @@
 
 
 class CallFlow:
-    """The state machine of one call."""
+    """The state machine of one call.
+
+    ``wake_at`` is when :meth:`on_tick` is due, ``scheduled_at`` the time
+    for which the kernel has set a timer, and ``endpoint`` the name of the
+    endpoint of the newest answer stream.
+    """
 
     def __init__(
         self, *, call: call_module.Call, context: context_module.CallContext
--- a/src/aspenfold/_internal/calls/kernel.py
+++ b/src/aspenfold/_internal/calls/kernel.py
@@ -1,4 +1,4 @@
-"""The decisions of an entry host about its calls, without I/O.
+"""The decisions of an entry about its calls, without I/O.
 
 The kernel gets every event of its process by a method call and returns
 the actions that the process has to perform.
@@ -42,7 +42,7 @@
 
 
 class EntryKernel:
-    """The state of one entry host: its calls, claims, view and fleet."""
+    """The state of one entry: its calls, claims, view and fleet."""
 
     def __init__(
         self,
@@ -288,14 +288,14 @@
         if fleet is None:
             return exceptions.Failure(
                 code=exceptions.Code.NO_FLEET,
-                detail='this entry host has no configuration yet',
+                detail='this entry has no configuration yet',
                 retry_after=datetime.timedelta(seconds=1),
             )
         if self.draining:
             return exceptions.Failure(
                 code=exceptions.Code.DRAINING,
-                detail='this entry host is shutting down',
-                remedy='use another entry host',
+                detail='this entry is shutting down',
+                remedy='use another entry',
                 retry_after=datetime.timedelta(seconds=1),
             )
         policy: admission_policy.AdmissionPolicy = self._policy(
@@ -343,7 +343,7 @@
     def _interactive_fraction(self, service: str, capacity: int) -> float:
         """Return the fraction of ``capacity`` used by interactive calls.
 
-        Assumes that all entry hosts have as many of them as this one.
+        Assumes that all entries have as many of them as this one.
         """
         here = self._interactive_in_flight.get(service, 0)
         before = self._interactive_mean.get(service, 0.0)
--- a/src/aspenfold/_internal/claims/table.py
+++ b/src/aspenfold/_internal/claims/table.py
@@ -47,8 +47,8 @@
 key.
 """
 
-CLOCK_SKEW = datetime.timedelta(seconds=5)
-"""Largest expected difference between the clocks of two entry hosts."""
+MAX_CLOCK_SKEW = datetime.timedelta(seconds=5)
+"""Largest expected difference between the clocks of two entries."""
 
 
 class ClaimTable:
@@ -126,10 +126,10 @@
             oldest = _parse_batch(page.records[0])
             if (
                 oldest is not None
-                and oldest.at <= now - self._window - CLOCK_SKEW
+                and oldest.at <= now - self._window - MAX_CLOCK_SKEW
             ):
                 return
-        self._complete_from = now + self._window + CLOCK_SKEW
+        self._complete_from = now + self._window + MAX_CLOCK_SKEW
 
     def _apply(
         self, claim: records.Claim, offset: int, at: datetime.datetime
--- a/src/aspenfold/_internal/observability/output.py
+++ b/src/aspenfold/_internal/observability/output.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-RATE_PER_S = 100.0
-"""Sustained rate of lines of one event type."""
+MAX_LINES_PER_S = 100.0
+"""Limit of the sustained rate of lines of one event type."""
 
 BURST_LINES = 300.0
 """Lines of one event type that can be written at once."""
@@ -36,7 +36,7 @@
         self.dropped_lines = 0
 
     def try_take(self, now: float) -> bool:
-        refill = (now - self.updated) * RATE_PER_S
+        refill = (now - self.updated) * MAX_LINES_PER_S
         self.tokens = min(BURST_LINES, self.tokens + refill)
         self.updated = now
         if self.tokens < 1:
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of the agent kernel: at most one run (P3, P4)."""
+"""An agent runs an attempt once, and never after "not run" (P3, P4)."""
 
 import datetime
 
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of P7: readers agree and none goes back."""
+"""Readers of the fleet stream agree, and none goes back (P7)."""
 
 import typing
 
