--- a/src/aspenfold/_internal/attempts/kernel.py
+++ b/src/aspenfold/_internal/attempts/kernel.py
@@ -4,7 +4,7 @@
 the actions that the process has to perform.
 
 An attempt is *sealed* when this incarnation of the agent will never run
-it.  It is sealed before an entry is told "not run", so that this stays
+it.  It is sealed before "not run" is sent to an entry, so that this stays
 true if the request to run the attempt arrives later.
 """
 
@@ -147,7 +147,10 @@
         return [actions.CancelEndpoint(attempt_id=attempt_id)]
 
     def on_drain_order(self, order: frames.DrainOrder) -> None:
-        """Apply an entry's drain order unless its token is outdated."""
+        """Apply an entry's drain order unless its token is outdated.
+
+        The order to a leaving host is applied whatever its token.
+        """
         if order.leaving:
             self.drain_permanently()
         if self._draining_permanently or order.token < self.drain_token:
@@ -383,7 +386,7 @@
                 stream_id,
                 request,
                 Code.ANSWER_EXPIRED,
-                'the attempt ran, but its answer is no longer kept',
+                'the attempt ran, but the requested items are not stored',
             )
         attempt.streams[stream_id] = request.next_item
         self._streams[stream_id] = attempt.attempt_id
--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -431,7 +431,7 @@
             and self._holder_offset >= self._settled_position
         ):
             # The key may have been claimed after this call was sent, by
-            # a later submission whose caller may have been told "not
+            # a later submission that may have been answered with "not
             # run".  This call must not run in its place.
             return False
         return self.call.repeatable or attempt.never_executes
--- a/src/aspenfold/_internal/claims/table.py
+++ b/src/aspenfold/_internal/claims/table.py
@@ -52,7 +52,10 @@
 
 
 class ClaimTable:
-    """The holders of the keys of one claim stream in the last ``window``."""
+    """The holders of the keys of one claim stream in the last ``window``.
+
+    ``position`` is the offset to read next.
+    """
 
     def __init__(self, *, window: datetime.timedelta) -> None:
         self._window = window
--- a/src/aspenfold/_internal/exceptions.py
+++ b/src/aspenfold/_internal/exceptions.py
@@ -107,7 +107,8 @@
     'end of the answer',
     Code.KEY_UNDECIDED: 'refused while the key was undecided; an earlier '
     'request with it may have been executed',
-    Code.ANSWER_EXPIRED: 'executed; the answer is no longer stored',
+    Code.ANSWER_EXPIRED: 'executed; the requested part of the answer is not '
+    'stored',
     Code.ANSWER_BROKEN: 'executed; the answer does not match its digest',
     Code.ANSWER_CUT: 'executed; the answer is truncated',
     Code.ENDPOINT_FAILED: 'executed; the endpoint sent an invalid response',
