--- a/src/aspenfold/_internal/calls/flow.py
+++ b/src/aspenfold/_internal/calls/flow.py
@@ -37,7 +37,10 @@
 
 
 class State(enum.Enum):
-    """States of a call's flow."""
+    """States of a call's flow.
+
+    QUERYING waits to query the outcome of a lost attempt, WAITING to retry.
+    """
 
     NEW = 'new'
     CLAIMING = 'claiming'
@@ -48,7 +51,12 @@
 
 
 class CallFlow:
-    """The state machine of one call."""
+    """The state machine of one call.
+
+    ``wake_at`` is when :meth:`on_tick` is due, ``scheduled_at`` the time
+    for which the kernel has set a timer, and ``endpoint`` the name of the
+    endpoint of the newest answer stream.
+    """
 
     def __init__(
         self, *, call: call_module.Call, context: context_module.CallContext
@@ -423,7 +431,7 @@
             and self._holder_offset >= self._settled_position
         ):
             # The key may have been claimed after this call was sent, by
-            # a later submission whose caller may have been told "not
+            # a later submission that may have been answered with "not
             # run".  This call must not run in its place.
             return False
         return self.call.repeatable or attempt.never_executes
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of the agent kernel: no attempt runs twice."""
+"""An agent runs an attempt at most once, and never after "not run"."""
 
 import datetime
 
--- a/tests/unit/test_fleet_machine.py
+++ b/tests/unit/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of fleet readers: all agree, and none goes back."""
+"""Readers of the fleet stream agree, and none goes back."""
 
 import typing
 
