--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -130,7 +130,7 @@
     assert len(client.executions('/job')) == 2
 
 
-def test_lost_append_answers_do_not_repeat_the_append(
+def test_lost_append_responses_do_not_repeat_the_append(
     deployment: launcher.Deployment,
     client: deployment_client.DeploymentClient,
     tmp_path: pathlib.Path,
--- a/tests/lib/chaos.py
+++ b/tests/lib/chaos.py
@@ -42,7 +42,7 @@
         """Run the period with calls and faults, then the recovery period.
 
         The faults of the log and the network end in between, but appends
-        and executions may still lose their answers.
+        and executions may still lose their responses or answers.
         """
         for _ in range(self.rng.randint(10, 30)):
             self.sim.after(
@@ -163,9 +163,9 @@
         self.sim.after(self.rng.uniform(100, 3000), restart)
 
     def slow_platform(self) -> None:
-        """Make appends slow, and lose some of their answers."""
+        """Make appends slow, and lose some of their responses."""
         self.cluster.append_duration_ms = self.rng.choice((4.0, 100.0, 900.0))
-        self.cluster.append_answer_loss_probability = self.rng.choice(
+        self.cluster.append_response_loss_probability = self.rng.choice(
             (0.0, 0.5)
         )
 
--- a/tests/lib/simulated_cluster.py
+++ b/tests/lib/simulated_cluster.py
@@ -410,7 +410,7 @@
             self.cluster.log.append(stream, batch)
             if (
                 self.sim.rng.random()
-                < self.cluster.append_answer_loss_probability
+                < self.cluster.append_response_loss_probability
             ):
                 self._retry_append(stream, claim, started_ms)
 
@@ -490,7 +490,7 @@
         self.network = sim_module.Network(sim=self.sim)
         self.log = fake_log.FakeLog()
         self.append_duration_ms = 4.0
-        self.append_answer_loss_probability = 0.0
+        self.append_response_loss_probability = 0.0
         self.executions: list[Execution] = []
         self.submissions: list[Submission] = []
         self.streams: list[AnswerStream] = []
--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -40,12 +40,12 @@
     """One rank's engine.
 
     ``step`` is the last step that it finished, ``entered_step`` the last
-    that it entered, and ``fencing`` the highest token of its orders.  With
-    ``checks_fencing`` it refuses orders with a lower token.
+    that it entered, and ``fencing_token`` the highest token of its
+    orders.  With ``checks_fencing`` it refuses orders with a lower token.
     """
 
     checks_fencing: bool
-    fencing: int = 0
+    fencing_token: int = 0
     step: int = -1
     entered_step: int = -1
     last_granted_step: int = -1
@@ -54,9 +54,9 @@
 
     def execute(self, action: group_member.EngineOrder) -> bool:
         """Execute an order; return False if its token is too low."""
-        if self.checks_fencing and action.token < self.fencing:
+        if self.checks_fencing and action.token < self.fencing_token:
             return False
-        self.fencing = max(self.fencing, action.token)
+        self.fencing_token = max(self.fencing_token, action.token)
         match action:
             case messages.OrderReset():
                 self.runs.clear()
--- a/tests/lib/steps.py
+++ b/tests/lib/steps.py
@@ -143,9 +143,9 @@
     context.cluster.append_duration_ms = float(ms)
 
 
-@when('the answer to every append is lost')
-def _lose_append_answers(context: ScenarioContext) -> None:
-    context.cluster.append_answer_loss_probability = 1.0
+@when('the response to every append is lost')
+def _lose_append_responses(context: ScenarioContext) -> None:
+    context.cluster.append_response_loss_probability = 1.0
 
 
 @when(parse('the next {count:d} answers of endpoint {name} are lost'))
--- a/tests/unit/features/at_most_once.feature
+++ b/tests/unit/features/at_most_once.feature
@@ -100,10 +100,10 @@
     And "one" ran 1 times
     And all guarantees hold
 
-  Scenario: Appends are slow and their answers are lost
+  Scenario: Appends are slow and their responses are lost
     Given 2 entries and 2 endpoints per service
     When appends take 150 ms
-    And the answer to every append is lost
+    And the response to every append is lost
     And "one" requests job with key sale-8 at entry-0
     And "two" requests job with key sale-8 at entry-1
     And 4000 ms pass
--- a/tests/unit/test_map_plans.py
+++ b/tests/unit/test_map_plans.py
@@ -93,7 +93,7 @@
     ]
 
 
-def test_a_plan_whose_append_answer_was_lost_counts_once() -> None:
+def test_a_plan_whose_append_response_was_lost_counts_once() -> None:
     """A plan that is appended twice must not get a second version."""
     state = state_module.FleetState()
     feed(state, grant('entry-a', 0), plan('a', 1))
