--- a/tests/lib/simulated_group.py
+++ b/tests/lib/simulated_group.py
@@ -40,12 +40,12 @@
     """One rank's engine.
 
     ``step`` is the last step that it finished, ``entered_step`` the last
-    that it entered, and ``fencing`` the highest token of its orders.  With
-    ``checks_fencing`` it refuses orders with a lower token.
+    that it entered, and ``fencing_token`` the highest token of its
+    orders.  With ``checks_fencing`` it refuses orders with a lower token.
     """
 
     checks_fencing: bool
-    fencing: int = 0
+    fencing_token: int = 0
     step: int = -1
     entered_step: int = -1
     last_granted_step: int = -1
@@ -54,9 +54,9 @@
 
     def execute(self, action: group_member.EngineOrder) -> bool:
         """Execute an order; return False if its token is too low."""
-        if self.checks_fencing and action.token < self.fencing:
+        if self.checks_fencing and action.token < self.fencing_token:
             return False
-        self.fencing = max(self.fencing, action.token)
+        self.fencing_token = max(self.fencing_token, action.token)
         match action:
             case messages.OrderReset():
                 self.runs.clear()
@@ -269,7 +269,7 @@
 
 
 def steps_with_mixed_maps(group: SimulatedGroup) -> list[str]:
-    """Return the violations of P1: all ranks enter a step with one map."""
+    """Return a description of each step that ranks entered with two maps."""
     versions: dict[tuple[int, int], set[int]] = {}
     for entry in group.step_entries:
         step = (entry.formation, entry.step)
--- a/tests/unit/test_apply.py
+++ b/tests/unit/test_apply.py
@@ -1,4 +1,4 @@
-"""Applied changes are neither lost nor doubled by races and failures."""
+"""Races and failures neither lose a change nor apply it twice."""
 
 import datetime
 import json
--- a/tests/unit/test_attempt_machine.py
+++ b/tests/unit/test_attempt_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of the agent kernel: at most one run (P3, P4)."""
+"""An agent runs an attempt at most once, and never after "not run"."""
 
 import datetime
 
